--- a/Makefile
+++ b/Makefile
@@ -14,7 +14,7 @@
 $(READY): constraints.txt packages/endivestream/pyproject.toml packages/endivestream-cli/pyproject.toml
 	$(PYTHON) -m venv $(VENV)
 	$(BIN)/python -m pip install --quiet --disable-pip-version-check \
-	  -c constraints.txt setuptools hypothesis ruff hdrhistogram
+	  -c constraints.txt setuptools hypothesis ruff rope hdrhistogram
 	$(BIN)/python -m pip install --quiet --disable-pip-version-check \
 	  --no-build-isolation -c constraints.txt \
 	  -e packages/endivestream -e packages/endivestream-cli
