--- a/packages/endivestream/src/endivestream/version/plan.py
+++ b/packages/endivestream/src/endivestream/version/plan.py
@@ -1,9 +1,10 @@
-"""Which models and adapters should be on which engine. Pure.
+"""Decides which engines load which models. Performs no I/O.
 
-There are more models than places. A few are asked for all the time and have
-several copies; many are asked for now and then, and come back from an engine's
-own memory or disk in under a second. A plan is a list of steps, one for an
-engine at a time; the next is made when its effect has been reported.
+A service has more models than its engines can hold at once. A few models are
+requested all the time and have several copies; many are requested
+occasionally and are loaded again from an engine's host memory or disk in under
+a second. A plan is a list of steps, at most one for each engine; the next step
+for an engine is planned once the effect of the previous one has been reported.
 """
 
 from __future__ import annotations
@@ -15,65 +16,73 @@
 from endivestream.version import plan_costs
 from endivestream.version import plan_types
 
-# What the loss of one copy of a model costs, as a share of the model's
-# requests, by how many copies it has. The last copy costs all of them; with
-# two, the other one carries on, farther away for some and without a spare.
-_LOSS = {1: 1.0, 2: 0.06, 3: 0.004}
-_LOSS_MORE = 0.001
-# What a request loses that runs in another failure domain than its caller: the
-# bytes of prompt and answer cross over, some 12 KB, which operators pay for.
-_AWAY_LOSS = 0.07
-# What a request loses that waits for a swap, by whether its objective leaves
-# time for one.
-_LATE = 1.0
-_IN_TIME = 0.3
-# A swap takes this long on top of the load: the push to entry hosts, two
+# Cost of removing one copy of a model, as a share of the model's requests, by
+# its number of copies. Removing the last copy costs all of them; with two
+# copies the other one continues, in another failure domain for some callers
+# and without a spare.
+_LOSS_SHARE_BY_COPIES = {1: 1.0, 2: 0.06, 3: 0.004}
+_LOSS_SHARE_MANY_COPIES = 0.001
+# Cost of a request that runs in another failure domain than its caller, as a
+# share of the request: prompt and answer, some 12 KB, cross between the
+# domains, and operators pay for that traffic.
+_CROSS_DOMAIN_LOSS_SHARE = 0.07
+# Cost of a request that waits for a model swap, as a share of the request: the
+# first if its objective is too short for a swap, the second if it is not.
+_LATE_LOSS_SHARE = 1.0
+_IN_TIME_LOSS_SHARE = 0.3
+# Duration of a swap besides the load itself: the push to entry hosts, two
 # orders and a report.
-_SWAP_SECONDS = 0.25
-# A further copy must gain this multiple of what it displaces.
-_HYSTERESIS = 3.0
-# Demand is taken to last so long when a gain is weighed against its cost.
+_SWAP_OVERHEAD_SECONDS = 0.25
+# The gain of a further copy must exceed this multiple of the loss of the models
+# that it displaces.
+_HYSTERESIS_FACTOR = 3.0
+# Period for which demand is assumed to last when the gain of a step is weighed
+# against its cost.
 _HORIZON_SECONDS = 10.0
-# What an order, a push and a busy engine cost, in requests; and what a load
-# from the store costs: it keeps its engine from swaps for four seconds and
-# pushes another model off the disk.
-_STEP_COSTS = 0.3
-_STORE_COSTS = 12.0
-# What is expected of a model that nobody has asked for lately.
-_UNKNOWN_RATE = 0.02
-_UNKNOWN_OBJECTIVE = 4.0
-# What it costs, in requests a second, that no engine's disk has a model any
-# more: its next request waits for the store.
-_HOMELESS = 0.05
-# What it costs, likewise, to push a model's last copy off a disk. Far more
-# than an empty home is worth: models come back into demand, and then take
-# several times as long to be there.
-_EVICTION_COSTS = 1.0
-# A further copy that saves so many requests a second comes before models that
-# few requests wait for: else every free engine is busy with those.
-_PRESSING = 4.0
-# How much more the victims of a model that requests wait for may lose than it
-# gains: rare models must come to their turn. Without a limit one waiting
-# caller took a model off that was just loaded and asked for more and more.
-_RARE_WORTH = 0.3
-# One engine of so many may load such a model at a time; the others go on with
-# what most requests wait for.
+# Costs in requests. The first covers an order, a push and a busy engine. The
+# second is added for a load from the weight store, which blocks swaps on its
+# engine for four seconds and evicts another model from the disk.
+_STEP_COST_REQUESTS = 0.3
+_STORE_LOAD_COST_REQUESTS = 12.0
+# Demand assumed for a model without recent requests: requests per second, and
+# their objective.
+_ASSUMED_RATE = 0.02
+_ASSUMED_OBJECTIVE_SECONDS = 4.0
+# Cost, in requests per second, of a model that no engine has on its disk: its
+# next request waits for the weight store.
+_NO_DISK_COPY_COST = 0.05
+# Cost, in requests per second, of evicting the last disk copy of a model. It is
+# far higher than `_NO_DISK_COPY_COST`: models come back into demand, and
+# loading them then takes several times as long.
+_DISK_EVICTION_COST = 1.0
+# A further copy that gains at least this many requests per second is planned
+# before missing models that few requests wait for. Otherwise those keep every
+# free engine busy.
+_URGENT_GAIN = 4.0
+# A missing model is not loaded if the loss of its victims exceeds its gain by
+# this many requests per second or more. The allowance lets rare models be
+# loaded at all. Without a limit, one waiting caller displaced a model that had
+# just been loaded and whose demand was rising.
+_MAX_EXCESS_LOSS = 0.3
+# At most one engine in this many loads an overdue model at a time; the others
+# serve the models that the most requests wait for.
 _OVERDUE_SHARE = 3
 # An overdue model that an engine has on its disk waits for that engine until it
-# has not been served for so long. A load from the store takes several times as
-# long, and keeps its engine from others.
+# has been unserved for this long. A load from the store takes several times as
+# long as one from the disk, and blocks its engine meanwhile.
 _HOME_PATIENCE_SECONDS = 2 * plan_types.OVERDUE_SECONDS
-# One engine of so many is kept free for steps that gain as much as that. All
-# would be busy with models that one caller each waits for, from the store for
-# four seconds, when one that thirty wait for is missing.
-_KEPT_FREE = 4
-# Models and engines that are looked at for a further copy in one round: the
-# fullest engines' busiest models, and the emptiest engines.
-_COPY_MODELS = 4
-_COPY_PLACES = 4
-# Loads that only give models a home, at once over all engines: each keeps its
-# engine from swaps for four seconds.
-_HOME_LOADS = 1
+# One engine in this many is reserved for steps that gain at least
+# `_URGENT_GAIN`. Otherwise all engines could be busy for four seconds with
+# loads from the store, for models with one waiting caller each, when a model
+# that thirty callers wait for is missing.
+_RESERVED_ENGINES_DIVISOR = 4
+# Candidates for a further copy in one round: the busiest models of the engines
+# with the highest load, and the engines with the lowest load.
+_COPY_CANDIDATE_MODELS = 4
+_COPY_CANDIDATE_ENGINES = 4
+# Concurrent loads, over all engines, that only put a model on a disk. Each
+# blocks swaps on its engine for four seconds.
+_MAX_DISK_COPY_LOADS = 1
 
 
 def plan(
@@ -83,466 +92,549 @@
     wants: Mapping[str, plan_types.Want],
     store_loads: int,
     complete: bool = True,
-) -> plan_types.Round:
+) -> plan_types.PlanResult:
     """Plans one round.
 
     Args:
-        engine: What engines of the service can hold.
-        places: All its engines.
-        wants: How much each model is asked for.
-        store_loads: Loads from the store that may begin now.
-        complete: Whether all engines have been heard of: what none of them
-            has on its disk is then on no disk.
+        engine: Capacity and models of the engines of the service.
+        places: States of all engines of the service.
+        wants: Demand for each model.
+        store_loads: Loads from the weight store that may start now.
+        complete: Whether all engines have reported. If so, a model that none
+            of them has on its disk is on no disk.
     """
-    planner = _Planning(engine, places, wants, store_loads)
+    planner = _RoundPlanner(engine, places, wants, store_loads)
     planner.load_overdue()
-    planner.add_copies(least=_PRESSING)
+    planner.add_copies(min_net_gain=_URGENT_GAIN)
     planner.load_missing()
-    planner.add_copies(least=0.0)
+    planner.add_copies(min_net_gain=0.0)
     if complete:
-        planner.give_homes()
-    return plan_types.Round(planner.made, planner.unplaced)
+        planner.add_disk_copies()
+    return plan_types.PlanResult(planner.steps, planner.unplaced)
 
 
-class _Planning:
-    """One round of planning."""
+class _RoundPlanner:
+    """Plans one round and collects its steps."""
 
     def __init__(
         self,
-        engine: document_lib.Engine,
-        places: Sequence[plan_types.Place],
-        wants: Mapping[str, plan_types.Want],
+        spec: document_lib.Engine,
+        engines: Sequence[plan_types.Place],
+        demands: Mapping[str, plan_types.Want],
         store_loads: int,
     ) -> None:
-        self._models = {model.name: model for model in engine.models}
-        self._room = engine.weights_mb - engine.adapter_places * max(
-            (model.adapter_mb for model in engine.models), default=0.0
+        self._models = {model.name: model for model in spec.models}
+        self._model_capacity_mb = spec.weights_mb - spec.adapter_places * max(
+            (model.adapter_mb for model in spec.models), default=0.0
         )
-        self._places = {place.target: place for place in places}
-        self._wants = wants
-        self._domains = max(1, len({place.domain for place in places}))
+        self._engines = {engine.target: engine for engine in engines}
+        self._demands = demands
+        self._domain_count = max(1, len({engine.domain for engine in engines}))
         self._store_loads = store_loads
-        self._taken: set[str] = set()
-        self._copies: dict[str, int] = {}
-        self._homes: dict[str, int] = {}
-        # Usable engines that hold a model or will shortly, by model.
+        # Engines that have a step in this round.
+        self._assigned: set[str] = set()
+        self._copy_counts: dict[str, int] = {}
+        self._disk_copy_counts: dict[str, int] = {}
+        # Usable engines that hold a model or are loading it, by model.
         self._holders: dict[str, list[str]] = {}
-        self._home_loads = 0
+        self._disk_copy_loads = 0
         self._overdue_loads = 0
-        # Requests a second by engine, counted anew after each step.
-        self._known_loads: dict[str, float] | None = None
-        # The answers of `_has_free_home`, likewise.
-        self._free_homes: dict[str, bool] = {}
-        for place in places:
-            self._home_loads += place.is_home
-            self._overdue_loads += place.is_overdue
-            if not place.usable:
+        # Requests per second by engine; computed again after each step.
+        self._cached_engine_rates: dict[str, float] | None = None
+        # Results of `_has_free_local_copy`; cleared after each step.
+        self._free_local_copies: dict[str, bool] = {}
+        for engine in engines:
+            self._disk_copy_loads += engine.is_home
+            self._overdue_loads += engine.is_overdue
+            if not engine.usable:
                 continue
-            for model in place.on_disk:
-                self._homes[model] = self._homes.get(model, 0) + 1
-            for model in place.holds:
-                self._holders.setdefault(model, []).append(place.target)
-                self._copies[model] = self._copies.get(model, 0) + 1
-        self.made: list[plan_types.Step] = []
+            for model in engine.on_disk:
+                self._disk_copy_counts[model] = (
+                    self._disk_copy_counts.get(model, 0) + 1
+                )
+            for model in engine.holds:
+                self._holders.setdefault(model, []).append(engine.target)
+                self._copy_counts[model] = self._copy_counts.get(model, 0) + 1
+        self.steps: list[plan_types.Step] = []
         self.unplaced: list[plan_types.Unplaced] = []
 
     def load_overdue(self) -> None:
-        """Loads models that have not been served for long, longest first.
+        """Loads overdue models, those that were unserved for longest first.
 
-        Under load each victim loses more than a rare model gains, so without
-        this it need never be loaded (symptom: every caller of a model is
-        refused, all day).
+        Under load the loss of each victim exceeds the gain of a rare model, so
+        without this a rare model might never be loaded (symptom: every caller
+        of the model is refused, all day).
         """
-        usable = sum(place.usable for place in self._places.values())
-        most = max(1, usable // _OVERDUE_SHARE)
-        overdue = [item for item in self._missing() if item[1].is_overdue]
+        usable_count = sum(engine.usable for engine in self._engines.values())
+        max_loads = max(1, usable_count // _OVERDUE_SHARE)
+        overdue = [
+            item for item in self._missing_models() if item[1].is_overdue
+        ]
         overdue.sort(key=lambda item: -item[1].unserved)
-        for name, want in overdue:
-            if self._overdue_loads >= most:
+        for name, demand in overdue:
+            if self._overdue_loads >= max_loads:
                 return
-            step = self._best(
+            step = self._cheapest_step(
                 name,
                 "overdue",
-                self._gain(want),
-                any_home=want.unserved >= _HOME_PATIENCE_SECONDS,
+                self._missing_gain(demand),
+                ignore_busy_disk_copies=(
+                    demand.unserved >= _HOME_PATIENCE_SECONDS
+                ),
             )
             if step is not None:
-                self._make(step)
+                self._add_step(step)
                 self._overdue_loads += 1
 
-    def _missing(self) -> list[tuple[str, plan_types.Want]]:
-        """Returns what requests wait for and no engine holds or loads."""
+    def _missing_models(self) -> list[tuple[str, plan_types.Want]]:
+        """Returns models with waiting requests and without any copy."""
         return [
-            (name, want)
-            for name, want in self._wants.items()
-            if want.waiting
+            (name, demand)
+            for name, demand in self._demands.items()
+            if demand.waiting
             and name in self._models
-            and not self._copies.get(name)
+            and not self._copy_counts.get(name)
         ]
 
-    def _gain(self, want: plan_types.Want) -> float:
-        """Returns the requests a second that gain by a missing model."""
-        return max(want.rate, want.waiting / max(0.5, want.objective))
+    def _missing_gain(self, demand: plan_types.Want) -> float:
+        """Returns the gain of loading a missing model, in requests/second."""
+        return max(demand.rate, demand.waiting / max(0.5, demand.objective))
 
     def load_missing(self) -> None:
-        """Loads models that requests wait for, the most waited for first."""
-        missing = self._missing()
+        """Loads missing models, in descending order of their urgency.
+
+        The urgency is the number of waiting requests over their objective.
+        """
+        missing = self._missing_models()
         missing.sort(key=lambda item: -item[1].waiting / item[1].objective)
-        for name, want in missing:
-            gain = self._gain(want)
-            if not self._may_begin(gain):
-                self._leave_out(name, want, self._obstacle(name, gain), gain)
+        for name, demand in missing:
+            gain = self._missing_gain(demand)
+            if not self._may_use_free_engine(gain):
+                self._add_unplaced(
+                    name, demand, self._find_obstacle(name, gain), gain
+                )
                 continue
-            step = self._best(name, "missing", gain)
+            step = self._cheapest_step(name, "missing", gain)
             if step is None:
-                self._leave_out(name, want, self._obstacle(name, gain), gain)
-            elif step.loss >= gain + _RARE_WORTH:
-                obstacle = plan_types.Obstacle.DISPLACES_MORE
-                self._leave_out(name, want, obstacle, gain, step.loss)
+                self._add_unplaced(
+                    name, demand, self._find_obstacle(name, gain), gain
+                )
+            elif step.loss >= gain + _MAX_EXCESS_LOSS:
+                obstacle = plan_types.Obstacle.LOSS_EXCEEDS_GAIN
+                self._add_unplaced(name, demand, obstacle, gain, step.loss)
             else:
-                self._make(step)
+                self._add_step(step)
 
-    def _leave_out(
+    def _add_unplaced(
         self,
         model: str,
-        want: plan_types.Want,
+        demand: plan_types.Want,
         obstacle: plan_types.Obstacle,
         gain: float,
         loss: float = 0.0,
     ) -> None:
         self.unplaced.append(
-            plan_types.Unplaced(model, obstacle, want.waiting, gain, loss)
+            plan_types.Unplaced(model, obstacle, demand.waiting, gain, loss)
         )
 
-    def _obstacle(self, model: str, gain: float) -> plan_types.Obstacle:
+    def _find_obstacle(self, model: str, gain: float) -> plan_types.Obstacle:
         """Returns why no engine can be ordered to load a model."""
         if not any(
-            place.usable and self._is_free(place.target)
-            for place in self._places.values()
+            engine.usable and self._is_free(engine.target)
+            for engine in self._engines.values()
         ):
             return plan_types.Obstacle.ENGINES_BUSY
-        if not self._may_begin(gain):
-            return plan_types.Obstacle.ENGINES_KEPT
-        if self._homes.get(model):
-            return plan_types.Obstacle.HOME_BUSY
+        if not self._may_use_free_engine(gain):
+            return plan_types.Obstacle.ENGINES_RESERVED
+        if self._disk_copy_counts.get(model):
+            return plan_types.Obstacle.DISK_COPY_BUSY
         return plan_types.Obstacle.STORE_RATE
 
-    def add_copies(self, *, least: float) -> None:
-        """Gives models on full engines a further copy on empty ones.
+    def add_copies(self, *, min_net_gain: float) -> None:
+        """Adds copies of models of highly loaded engines to idle engines.
 
-        The gain is the requests a second that would no longer be late or
-        lost, by how full engines are with the model's requests spread evenly;
-        copies on their way count as if they were there.
+        The gain is the rate of requests that would no longer be late or lost.
+        It follows from the load of the engines, with the requests of a model
+        spread evenly over its copies; copies that are being loaded count.
 
         Args:
-            least: Least gain, less what it costs, in requests a second.
+            min_net_gain: Minimum of the gain less its cost, in requests per
+                second.
         """
-        loads = self._loads()
-        full = sorted(loads, key=lambda target: -loads[target])
+        engine_rates = self._engine_rates()
+        by_load = sorted(engine_rates, key=lambda target: -engine_rates[target])
         models = dict.fromkeys(
             name
-            for target in full
-            for name in self._by_rate(self._places[target].holds)
+            for target in by_load
+            for name in self._sorted_by_rate(self._engines[target].holds)
         )
-        empty = [t for t in reversed(full) if self._is_free(t)]
-        for name in list(models)[:_COPY_MODELS]:
-            copies = self._copies.get(name, 0)
+        candidates = [t for t in reversed(by_load) if self._is_free(t)]
+        for name in list(models)[:_COPY_CANDIDATE_MODELS]:
+            copies = self._copy_counts.get(name, 0)
             if copies:
-                self._add_copy(name, copies, loads, empty[:_COPY_PLACES], least)
+                self._add_copy(
+                    name,
+                    copies,
+                    engine_rates,
+                    candidates[:_COPY_CANDIDATE_ENGINES],
+                    min_net_gain,
+                )
 
     def _add_copy(
         self,
         name: str,
         copies: int,
-        loads: Mapping[str, float],
-        empty: Sequence[str],
-        least: float,
+        engine_rates: Mapping[str, float],
+        candidates: Sequence[str],
+        min_net_gain: float,
     ) -> None:
-        # Engines that leave still hold models; they are no help any more. One
-        # that is to get its first copy counts: a swap may take eight seconds,
-        # and if that engine is going to be too full, a second copy must not
-        # wait for it (symptom: its callers are refused meanwhile).
+        # Draining engines still hold models but relieve no other engine. An
+        # engine that is loading its first copy counts: a swap may take eight
+        # seconds, and if that engine will be overloaded, a second copy must
+        # not wait for it (symptom: its callers are refused meanwhile).
         holders = self._holders.get(name, [])
         rate = self._rate(name)
-        less = rate / copies - rate / (copies + 1)
+        rate_decrease = rate / copies - rate / (copies + 1)
         relief = sum(
-            self._lost(t, loads[t]) - self._lost(t, loads[t] - less)
+            self._overload_cost(t, engine_rates[t])
+            - self._overload_cost(t, engine_rates[t] - rate_decrease)
             for t in holders
         )
-        domains = {self._places[target].domain for target in holders}
-        best, most = None, float("-inf")
-        for target in empty:
-            place = self._places[target]
-            if target in self._taken or name in place.holds:
+        domains = {self._engines[target].domain for target in holders}
+        best, best_net_gain = None, float("-inf")
+        for target in candidates:
+            engine = self._engines[target]
+            if target in self._assigned or name in engine.holds:
                 continue
-            more = rate / (copies + 1)
-            gain = relief + self._lost(target, loads[target])
-            gain -= self._lost(target, loads[target] + more)
-            if place.domain not in domains:
-                # It saves the way for callers there, and is a spare.
-                gain += rate * _AWAY_LOSS / self._domains
-                gain += rate * _LOSS.get(copies + 1, _LOSS_MORE)
-            step = self._step(place, name, "copy", gain)
+            added_rate = rate / (copies + 1)
+            gain = relief + self._overload_cost(target, engine_rates[target])
+            gain -= self._overload_cost(
+                target, engine_rates[target] + added_rate
+            )
+            if engine.domain not in domains:
+                # Callers in that domain are served locally, and the copy is a
+                # spare for the other domains.
+                gain += rate * _CROSS_DOMAIN_LOSS_SHARE / self._domain_count
+                gain += rate * _LOSS_SHARE_BY_COPIES.get(
+                    copies + 1, _LOSS_SHARE_MANY_COPIES
+                )
+            step = self._plan_step(engine, name, "copy", gain)
             if step is None:
                 continue
-            costs = _STEP_COSTS + step.from_store * _STORE_COSTS
-            net = gain - step.loss - costs / _HORIZON_SECONDS
-            net -= self._eviction(place, step)
-            if gain <= _HYSTERESIS * step.loss or net <= least:
+            cost = (
+                _STEP_COST_REQUESTS
+                + step.from_store * _STORE_LOAD_COST_REQUESTS
+            )
+            net_gain = gain - step.loss - cost / _HORIZON_SECONDS
+            net_gain -= self._eviction_cost(engine, step)
+            if (
+                gain <= _HYSTERESIS_FACTOR * step.loss
+                or net_gain <= min_net_gain
+            ):
                 continue
-            # Whether a copy pays is a question of its whole gain; where it
-            # goes, also of how soon it is there.
-            net -= gain * (step.wait + step.seconds) / _HORIZON_SECONDS
-            if net > most:
-                best, most = step, net
-        if best is not None and self._may_begin(best.gain):
-            self._make(best)
-
-    def _has_free_home(self, model: str) -> bool:
-        """Whether an engine that can take an order has a model's weights."""
-        if model not in self._free_homes:
-            self._free_homes[model] = any(
-                place.usable
-                and self._is_free(place.target)
-                and model in (*place.in_memory, *place.on_disk)
-                for place in self._places.values()
+            # The delay does not decide whether a copy is worth its cost, only
+            # which engine gets it.
+            net_gain -= gain * (step.wait + step.seconds) / _HORIZON_SECONDS
+            if net_gain > best_net_gain:
+                best, best_net_gain = step, net_gain
+        if best is not None and self._may_use_free_engine(best.gain):
+            self._add_step(best)
+
+    def _has_free_local_copy(self, model: str) -> bool:
+        """Whether a free engine has the weights in host memory or on disk."""
+        if model not in self._free_local_copies:
+            self._free_local_copies[model] = any(
+                engine.usable
+                and self._is_free(engine.target)
+                and model in (*engine.in_memory, *engine.on_disk)
+                for engine in self._engines.values()
             )
-        return self._free_homes[model]
+        return self._free_local_copies[model]
 
-    def _may_begin(self, gain: float) -> bool:
-        """Whether a step of so much gain may take a free engine."""
-        if gain >= _PRESSING:
+    def _may_use_free_engine(self, gain: float) -> bool:
+        """Whether a step with this gain may occupy one of the free engines."""
+        if gain >= _URGENT_GAIN:
             return True
-        usable = [p.target for p in self._places.values() if p.usable]
+        usable = [e.target for e in self._engines.values() if e.usable]
         free = sum(map(self._is_free, usable))
-        return free > len(usable) // _KEPT_FREE
+        return free > len(usable) // _RESERVED_ENGINES_DIVISOR
 
-    def _loads(self) -> dict[str, float]:
-        """Returns the requests a second at each usable engine."""
-        if self._known_loads is None:
-            self._known_loads = self._count_loads()
-        return self._known_loads
+    def _engine_rates(self) -> dict[str, float]:
+        """Returns the requests per second at each usable engine."""
+        if self._cached_engine_rates is None:
+            self._cached_engine_rates = self._compute_engine_rates()
+        return self._cached_engine_rates
 
-    def _count_loads(self) -> dict[str, float]:
+    def _compute_engine_rates(self) -> dict[str, float]:
         return {
-            target: sum(self._copy_rate(name, 0) for name in place.holds)
-            for target, place in self._places.items()
-            if place.usable
+            target: sum(self._copy_rate(name, 0) for name in engine.holds)
+            for target, engine in self._engines.items()
+            if engine.usable
         }
 
-    def _by_rate(self, models: Sequence[str]) -> list[str]:
+    def _sorted_by_rate(self, models: Sequence[str]) -> list[str]:
         return sorted(models, key=lambda name: -self._rate(name))
 
     def _rate(self, model: str) -> float:
-        want = self._wants.get(model)
-        return want.rate if want else 0.0
+        demand = self._demands.get(model)
+        return demand.rate if demand else 0.0
 
     def _is_free(self, target: str) -> bool:
-        place = self._places[target]
-        return not place.busy and target not in self._taken
+        engine = self._engines[target]
+        return not engine.busy and target not in self._assigned
 
-    def give_homes(self) -> None:
-        """Loads models that no engine has on its disk, while it is quiet.
+    def add_disk_copies(self) -> None:
+        """Loads models that are on no disk, while no requests wait.
 
-        Their first request would wait for the store, which takes longer than
-        any objective; afterwards they come back from the disk.
+        Otherwise the first request for such a model waits for the weight
+        store, which takes longer than any objective; later loads come from the
+        disk.
         """
-        if any(want.waiting for want in self._wants.values()):
+        if any(demand.waiting for demand in self._demands.values()):
             return
-        quiet = all(want.rate < _UNKNOWN_RATE for want in self._wants.values())
-        # Before there is any traffic nothing is in the way.
-        left = len(self._places) if quiet else _HOME_LOADS - self._home_loads
-        if not quiet and not self._may_begin(_HOMELESS):
+        idle = all(
+            demand.rate < _ASSUMED_RATE for demand in self._demands.values()
+        )
+        # Without traffic, the loads compete with nothing.
+        remaining_loads = (
+            len(self._engines)
+            if idle
+            else _MAX_DISK_COPY_LOADS - self._disk_copy_loads
+        )
+        if not idle and not self._may_use_free_engine(_NO_DISK_COPY_COST):
             return
         for name in self._models:
-            known = self._copies.get(name) or self._homes.get(name)
-            if known or self._store_loads <= 0 or left <= 0:
+            has_copy = self._copy_counts.get(
+                name
+            ) or self._disk_copy_counts.get(name)
+            if has_copy or self._store_loads <= 0 or remaining_loads <= 0:
                 continue
-            step = self._best(name, "home", _HOMELESS)
-            if step is not None and step.loss < _HOMELESS:
-                self._make(step)
-                left -= 1
-
-    def _make(self, step: plan_types.Step) -> None:
-        self.made.append(step)
-        self._taken.add(step.target)
+            step = self._cheapest_step(name, "home", _NO_DISK_COPY_COST)
+            if step is not None and step.loss < _NO_DISK_COPY_COST:
+                self._add_step(step)
+                remaining_loads -= 1
+
+    def _add_step(self, step: plan_types.Step) -> None:
+        self.steps.append(step)
+        self._assigned.add(step.target)
         self._store_loads -= step.from_store
-        self._known_loads = None
-        self._free_homes = {}
-        self._copies[step.model] = self._copies.get(step.model, 0) + 1
+        self._cached_engine_rates = None
+        self._free_local_copies = {}
+        self._copy_counts[step.model] = self._copy_counts.get(step.model, 0) + 1
         for victim in step.victims:
-            self._copies[victim] -= 1
+            self._copy_counts[victim] -= 1
 
-    def _best(
-        self, model: str, reason: str, gain: float, *, any_home: bool = False
+    def _cheapest_step(
+        self,
+        model: str,
+        reason: str,
+        gain: float,
+        *,
+        ignore_busy_disk_copies: bool = False,
     ) -> plan_types.Step | None:
-        """Returns the cheapest way to load a model, or None.
+        """Returns the step with the lowest cost that loads a model, or None.
 
         Args:
             model: The model.
-            reason: Why it is loaded.
-            gain: Requests a second that gain by it.
-            any_home: Whether it may come from the store although an engine
-                that takes no order now has it on its disk.
+            reason: Reason of the step, as in `plan_types.Step`.
+            gain: Gain of the load, in requests per second.
+            ignore_busy_disk_copies: Whether the model may be loaded from the
+                store although an engine that takes no orders now has it on its
+                disk.
         """
-        found, least = None, float("inf")
+        best, lowest_cost = None, float("inf")
         domains = {
-            place.domain
-            for place in self._places.values()
-            if model in place.holds
+            engine.domain
+            for engine in self._engines.values()
+            if model in engine.holds
         }
-        for place in self._places.values():
-            if not place.usable or place.busy or place.target in self._taken:
+        for engine in self._engines.values():
+            if (
+                not engine.usable
+                or engine.busy
+                or engine.target in self._assigned
+            ):
                 continue
-            if model in place.holds:
+            if model in engine.holds:
                 continue
-            step = self._step(place, model, reason, gain, any_home=any_home)
+            step = self._plan_step(
+                engine,
+                model,
+                reason,
+                gain,
+                ignore_busy_disk_copies=ignore_busy_disk_copies,
+            )
             if step is None:
                 continue
-            cost = step.loss + plan_costs.delay_costs(step)
-            cost += self._eviction(place, step)
-            if place.domain in domains:
+            cost = step.loss + plan_costs.delay_cost(step)
+            cost += self._eviction_cost(engine, step)
+            if engine.domain in domains:
                 cost += gain / 4
-            cost += self._crowding(place, step)
-            if cost < least:
-                found, least = step, cost
-        return found
+            cost += self._crowding_cost(engine, step)
+            if cost < lowest_cost:
+                best, lowest_cost = step, cost
+        return best
 
-    def _step(
+    def _plan_step(
         self,
-        place: plan_types.Place,
+        engine: plan_types.Place,
         model: str,
         reason: str,
         gain: float,
         *,
-        any_home: bool = False,
+        ignore_busy_disk_copies: bool = False,
     ) -> plan_types.Step | None:
-        from_store = model not in place.in_memory + place.on_disk
-        # Where an engine has it on its disk, the store is not asked, even if
-        # that engine is busy for a second: the copy would push another
-        # model's last one off a disk, whose next request goes to the store in
-        # turn (symptom: most loads come from the store, and all engines are
-        # busy with them).
-        # A further copy may come from there, where it gains enough, and so may
-        # what many wait for while no engine that has it can take an order.
-        has_home = reason in ("missing", "overdue") and self._homes.get(model)
-        if from_store and has_home and (any_home or gain >= _PRESSING):
-            has_home = self._has_free_home(model)
-        if from_store and (self._store_loads <= 0 or has_home):
+        """Returns the step that loads a model on an engine, or None."""
+        from_store = model not in engine.in_memory + engine.on_disk
+        # A model that is on some engine's disk is not loaded from the store,
+        # even if that engine is busy for a second: the new disk copy would
+        # evict the last disk copy of another model, whose next request then
+        # needs the store in turn (symptom: most loads come from the store, and
+        # all engines are busy with them).
+        # Exempt are further copies, which must gain enough to pay for it, and
+        # models with an urgent gain while no engine with the model on its disk
+        # can take an order.
+        has_disk_copy = reason in (
+            "missing",
+            "overdue",
+        ) and self._disk_copy_counts.get(model)
+        if (
+            from_store
+            and has_disk_copy
+            and (ignore_busy_disk_copies or gain >= _URGENT_GAIN)
+        ):
+            has_disk_copy = self._has_free_local_copy(model)
+        if from_store and (self._store_loads <= 0 or has_disk_copy):
             return None
-        room = self._room - sum(
+        free_mb = self._model_capacity_mb - sum(
             self._models[name].weights_mb
-            for name in place.loaded
+            for name in engine.loaded
             if name in self._models
         )
         victims: list[str] = []
         loss = 0.0
-        hurry = max(1.0, gain)
-        by_loss = sorted(
-            (name for name in place.loaded if name not in place.kept),
+        urgency = max(1.0, gain)
+        candidates = sorted(
+            (name for name in engine.loaded if name not in engine.kept),
             key=lambda name: (
-                self._loss(place, name)
-                + plan_costs.SECOND_COSTS
-                * hurry
-                * plan_costs.run_seconds(place, name)
+                self._removal_loss(engine, name)
+                + plan_costs.DELAY_COST_PER_SECOND
+                * urgency
+                * plan_costs.remaining_run_seconds(engine, name)
             ),
         )
-        for name in by_loss:
-            if room >= self._models[model].weights_mb:
+        for name in candidates:
+            if free_mb >= self._models[model].weights_mb:
                 break
-            room += self._models[name].weights_mb if name in self._models else 0
+            free_mb += (
+                self._models[name].weights_mb if name in self._models else 0
+            )
             victims.append(name)
-            loss += self._loss(place, name)
-        if room < self._models[model].weights_mb:
+            loss += self._removal_loss(engine, name)
+        if free_mb < self._models[model].weights_mb:
             return None
         return plan_types.Step(
-            target=place.target,
+            target=engine.target,
             model=model,
             victims=tuple(victims),
             from_store=from_store,
             reason=reason,
-            seconds=self._seconds(place, model),
+            seconds=self._load_seconds(engine, model),
             wait=max(
-                (plan_costs.run_seconds(place, v) for v in victims), default=0.0
+                (plan_costs.remaining_run_seconds(engine, v) for v in victims),
+                default=0.0,
             ),
             gain=gain,
             loss=loss,
         )
 
-    def _loss(self, place: plan_types.Place, model: str) -> float:
-        """Returns what a model's requests lose with its copy at a place."""
-        copies = max(1, self._copies.get(model, 1))
-        want = self._wants.get(model)
-        if want is None or want.rate < _UNKNOWN_RATE:
-            want = plan_types.Want(_UNKNOWN_RATE, 0, _UNKNOWN_OBJECTIVE)
-        share = _LOSS.get(copies, _LOSS_MORE)
+    def _removal_loss(self, engine: plan_types.Place, model: str) -> float:
+        """Returns the loss from removing a model's copy from an engine."""
+        copies = max(1, self._copy_counts.get(model, 1))
+        demand = self._demands.get(model)
+        if demand is None or demand.rate < _ASSUMED_RATE:
+            demand = plan_types.Want(
+                _ASSUMED_RATE, 0, _ASSUMED_OBJECTIVE_SECONDS
+            )
+        share = _LOSS_SHARE_BY_COPIES.get(copies, _LOSS_SHARE_MANY_COPIES)
         if copies == 1:
-            again = _SWAP_SECONDS + self._models[model].disk_seconds
-            in_time = want.objective > 2 * again
-            share = _IN_TIME if in_time else _LATE
-        loss = want.rate * share + self._burden(place, model, copies)
-        return loss + plan_costs.SECOND_COSTS * plan_costs.run_seconds(
-            place, model
+            reload_seconds = (
+                _SWAP_OVERHEAD_SECONDS + self._models[model].disk_seconds
+            )
+            in_time = demand.objective > 2 * reload_seconds
+            share = _IN_TIME_LOSS_SHARE if in_time else _LATE_LOSS_SHARE
+        loss = demand.rate * share + self._redistribution_cost(
+            engine, model, copies
+        )
+        return (
+            loss
+            + plan_costs.DELAY_COST_PER_SECOND
+            * plan_costs.remaining_run_seconds(engine, model)
         )
 
-    def _burden(
-        self, place: plan_types.Place, model: str, copies: int
+    def _redistribution_cost(
+        self, engine: plan_types.Place, model: str, copies: int
     ) -> float:
-        """Returns what a copy's requests cost on the engines they go to.
+        """Returns the cost of moving a copy's requests to the other copies.
 
-        Without it the copies of a model that many ask for look idle as soon as
-        there are enough of them, and the next step takes one off again, right
-        after it was loaded.
+        Without it the copies of a model in high demand would seem idle as soon
+        as there are enough of them, and the next step would remove one again
+        right after it was loaded.
         """
         if copies < 2:
             return 0.0
         rate = self._rate(model)
-        more = rate / (copies - 1) - rate / copies
-        loads = self._loads()
+        added_rate = rate / (copies - 1) - rate / copies
+        engine_rates = self._engine_rates()
         return sum(
-            self._lost(target, loads[target] + more)
-            - self._lost(target, loads[target])
+            self._overload_cost(target, engine_rates[target] + added_rate)
+            - self._overload_cost(target, engine_rates[target])
             for target in self._holders.get(model, ())
-            if target != place.target
+            if target != engine.target
         )
 
-    def _crowding(
-        self, place: plan_types.Place, step: plan_types.Step
+    def _crowding_cost(
+        self, engine: plan_types.Place, step: plan_types.Step
     ) -> float:
-        """Returns what a model costs others by coming."""
-        there = sum(
+        """Returns the cost of the added load for the engine's other models."""
+        current_rate = sum(
             self._copy_rate(name, 0)
-            for name in place.loaded
+            for name in engine.loaded
             if name not in step.victims
         )
-        more = self._copy_rate(step.model, 1)
-        return self._lost(place.target, there + more) - self._lost(
-            place.target, there
+        added_rate = self._copy_rate(step.model, 1)
+        return self._overload_cost(
+            engine.target, current_rate + added_rate
+        ) - self._overload_cost(engine.target, current_rate)
+
+    def _overload_cost(self, target: str, rate: float) -> float:
+        """Returns the cost of a rate at an engine, in requests per second."""
+        return plan_costs.lost(rate, self._engines[target].rate_limit)
+
+    def _copy_rate(self, model: str, extra_copies: int) -> float:
+        """Returns the requests per second at one of a model's copies."""
+        return self._rate(model) / max(
+            1, self._copy_counts.get(model, 0) + extra_copies
         )
 
-    def _lost(self, target: str, rate: float) -> float:
-        """Returns what a rate at an engine costs, in requests a second."""
-        return plan_costs.lost(rate, self._places[target].rate_limit)
-
-    def _copy_rate(self, model: str, more: int) -> float:
-        """Returns the requests a second at one of a model's copies."""
-        return self._rate(model) / max(1, self._copies.get(model, 0) + more)
-
-    def _eviction(
-        self, place: plan_types.Place, step: plan_types.Step
+    def _eviction_cost(
+        self, engine: plan_types.Place, step: plan_types.Step
     ) -> float:
-        """Returns what it costs that a load pushes a copy off the disk."""
-        if not step.from_store or not place.on_disk:
+        """Returns the cost of the disk copy that a load evicts."""
+        if not step.from_store or not engine.on_disk:
             return 0.0
-        oldest = place.on_disk[0]
-        last = self._homes.get(oldest, 0) <= 1 and oldest not in place.loaded
-        return _EVICTION_COSTS if last else 0.0
+        oldest = engine.on_disk[0]
+        is_last = (
+            self._disk_copy_counts.get(oldest, 0) <= 1
+            and oldest not in engine.loaded
+        )
+        return _DISK_EVICTION_COST if is_last else 0.0
 
-    def _seconds(self, place: plan_types.Place, name: str) -> float:
+    def _load_seconds(self, engine: plan_types.Place, name: str) -> float:
         """Returns how long an engine takes to load a model."""
         model = self._models[name]
-        if name in place.in_memory:
+        if name in engine.in_memory:
             return model.memory_seconds
-        if name in place.on_disk:
+        if name in engine.on_disk:
             return model.disk_seconds
         return model.load_seconds
--- a/packages/endivestream/src/endivestream/version/plan_costs.py
+++ b/packages/endivestream/src/endivestream/version/plan_costs.py
@@ -1,55 +1,64 @@
-"""What placement costs the requests of models, in requests a second. Pure."""
+"""Cost model of the placement planner, in requests per second. Pure."""
 
 from __future__ import annotations
 
 from endivestream.version import plan_types
 
-# Requests that still run for a victim hold its unload up by about so long.
-_RUNNING_SECONDS = 1.5
-# Running requests of a victim that hold its unload up by another 1.5 s: an
-# engine that runs many is slow with each.
-_RUNNING_STEP = 8.0
-# Seconds of loading weigh as much as this loss of requests a second.
-SECOND_COSTS = 0.3
-# Requests a second at one engine. Prompts are read between the tokens of
-# running requests (1,460 tokens take 66 ms); up to the first figure pauses stay
-# short, at the second every answer has a long one.
-_EASY_RATE = 4.0
+# Running requests of a victim delay its unload by about this long.
+_BASE_RUN_SECONDS = 1.5
+# Number of running requests of a victim that delay its unload by another 1.5 s:
+# an engine that runs many requests is slow with each.
+_REQUESTS_PER_EXTRA_DELAY = 8.0
+# Loss, in requests per second, that weighs as much as one second of delay.
+DELAY_COST_PER_SECOND = 0.3
+# Requests per second at one engine. Prompts are processed between the tokens of
+# running requests (1,460 tokens take 66 ms). Up to the first rate the pauses
+# between tokens stay short; at the second every answer has a long one.
+_UNDELAYED_RATE = 4.0
 _FULL_RATE = 14.0
-# What a late answer loses of its worth.
-_LATE_LOSS = 0.7
-# What each request a second above the full rate costs: it makes all that wait
-# behind it later still, until they give up. Steeper than the cost below the
-# full rate ever is, or a third copy would look useless where a fourth is
-# needed too (symptom: two engines drown, others stay idle).
-_OVER_LOSS = 2.0
-
-
-def run_seconds(place: plan_types.Place, model: str) -> float:
-    """Returns how long a model's runs on an engine will still take, about."""
-    running = place.running.get(model, 0)
+# Share of its value that an answer loses by being late.
+_LATE_LOSS_SHARE = 0.7
+# Cost of each request per second above the full rate: it delays all requests
+# that wait behind it further, until their callers give up. The slope is higher
+# than anywhere below the full rate, or a third copy would seem useless where a
+# fourth is needed too (symptom: two engines are overloaded, others are idle).
+_OVERLOAD_COST_PER_REQUEST = 2.0
+
+
+def remaining_run_seconds(engine: plan_types.Place, model: str) -> float:
+    """Estimates how long a model's running requests on an engine still take."""
+    running = engine.running.get(model, 0)
     if not running:
         return 0.0
-    return _RUNNING_SECONDS * (1.0 + running / _RUNNING_STEP)
+    return _BASE_RUN_SECONDS * (1.0 + running / _REQUESTS_PER_EXTRA_DELAY)
 
 
-def delay_costs(step: plan_types.Step) -> float:
-    """Returns what it costs until a step has its effect.
+def delay_cost(step: plan_types.Step) -> float:
+    """Returns the cost of the time until a step has completed.
 
-    What many wait for goes where it is soonest there, not where the fewest
-    are displaced: a victim's streams may run for as long as a load takes.
+    A model that many requests wait for is loaded where it is ready first, not
+    where it displaces the fewest requests: the streams of a victim may run for
+    as long as a load takes.
     """
-    return SECOND_COSTS * max(1.0, step.gain) * (step.seconds + step.wait)
+    return (
+        DELAY_COST_PER_SECOND * max(1.0, step.gain) * (step.seconds + step.wait)
+    )
 
 
 def lost(rate: float, limit: float | None = None) -> float:
-    """Returns what an engine's rate costs.
+    """Returns the cost of the load of an engine.
 
     Args:
-        rate: Requests a second that go there.
-        limit: Requests a second that it takes, if it names a limit.
+        rate: Requests per second sent to the engine.
+        limit: Requests per second that it accepts; None if it reports no
+            limit.
     """
-    full = _FULL_RATE if limit is None else min(limit, _FULL_RATE)
-    below = min(max(0.0, rate), full)
-    share = max(0.0, below - _EASY_RATE) / (_FULL_RATE - _EASY_RATE)
-    return _LATE_LOSS * below * share + _OVER_LOSS * max(0.0, rate - full)
+    full_rate = _FULL_RATE if limit is None else min(limit, _FULL_RATE)
+    accepted = min(max(0.0, rate), full_rate)
+    late_share = max(0.0, accepted - _UNDELAYED_RATE) / (
+        _FULL_RATE - _UNDELAYED_RATE
+    )
+    return (
+        _LATE_LOSS_SHARE * accepted * late_share
+        + _OVERLOAD_COST_PER_REQUEST * max(0.0, rate - full_rate)
+    )
--- a/packages/endivestream/src/endivestream/version/plan_types.py
+++ b/packages/endivestream/src/endivestream/version/plan_types.py
@@ -1,4 +1,4 @@
-"""What planning goes by, and what it results in."""
+"""Input and output types of the model placement planner."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 import enum
 from typing import NamedTuple
 
-# A model that has not been served for so many seconds is loaded whatever its
-# victims lose.
+# A model with waiting requests that has been unserved for this long is loaded
+# regardless of the loss of its victims.
 OVERDUE_SECONDS = 6.0
 
 
 class Want(NamedTuple):
-    """How much a model is asked for.
+    """Demand for one model.
 
     Attributes:
-        rate: Requests a second lately.
-        waiting: Requests that wait for it.
-        objective: Least objective of its requests, in seconds.
-        unserved: For how long it has not been served, in seconds.
+        rate: Recent requests per second.
+        waiting: Number of requests that wait for the model.
+        objective: Shortest objective of its requests, in seconds.
+        unserved: Time since the model was last served, in seconds.
     """
 
     rate: float
@@ -28,28 +28,31 @@
 
     @property
     def is_overdue(self) -> bool:
-        """Whether it is loaded whatever its victims lose."""
+        """Whether to load the model regardless of the loss of its victims."""
         return self.waiting > 0 and self.unserved >= OVERDUE_SECONDS
 
 
 class Place(NamedTuple):
-    """One engine, as far as planning goes.
+    """State of one engine, as the planner needs it.
 
     Attributes:
-        target: Its name.
+        target: Name of the engine.
         domain: Its failure domain.
         loaded: Models that it holds, without those being unloaded.
-        coming: A model that is being loaded, or empty.
-        busy: Whether an order is under way or in doubt.
+        coming: The model that is being loaded, or empty.
+        busy: Whether an order is in progress or has an unknown outcome.
         usable: Whether it may be given orders.
         in_memory: Models in its host memory, least recently used first.
         on_disk: Models on its disk, least recently used first.
-        running: Requests that run there, by model.
-        is_home: Whether a load is under way that only gives a model a home.
-        is_overdue: Whether a load is under way of a model that was overdue.
-        kept: Models that must not be displaced yet: they have just come, and
-            those that were told to come back for them have not been served.
-        rate_limit: Requests a second that it takes, if it names a limit.
+        running: Number of running requests by model.
+        is_home: Whether a load is in progress that only puts a model on the
+            disk.
+        is_overdue: Whether an overdue model is being loaded.
+        kept: Models that must not be displaced yet: they were loaded recently,
+            and the callers that got a retry response for them have not
+            been served.
+        rate_limit: Requests per second that it accepts; None if it reports no
+            limit.
     """
 
     target: str
@@ -68,23 +71,24 @@
 
     @property
     def holds(self) -> tuple[str, ...]:
-        """Models that it holds or will hold shortly."""
+        """Models that it holds, and the one that is being loaded."""
         return (*self.loaded, self.coming) if self.coming else self.loaded
 
 
 class Step(NamedTuple):
-    """Put a model on an engine, after taking others off.
+    """Loads a model on an engine after unloading others.
 
     Attributes:
-        target: The engine.
+        target: Name of the engine.
         model: The model to load.
         victims: Models to unload first.
-        from_store: Whether the weights come from the store.
+        from_store: Whether the weights come from the weight store.
         reason: `overdue`, `missing`, `copy` or `home`, for the log.
-        seconds: How long the load takes.
-        wait: How long the victims' runs will still take, about.
-        gain: Requests a second that gain by it.
-        loss: Requests a second that the victims lose.
+        seconds: Duration of the load.
+        wait: Estimated time until the running requests of the victims end, in
+            seconds.
+        gain: Gain of the step, in requests per second.
+        loss: Loss of the victims, in requests per second.
     """
 
     target: str
@@ -99,24 +103,28 @@
 
 
 class Obstacle(enum.StrEnum):
-    """Why a model that requests wait for is not loaded in a round."""
+    """Why a model with waiting requests is not loaded in a round.
+
+    The values are written to the log.
+    """
 
     ENGINES_BUSY = "engines_busy"
-    ENGINES_KEPT = "engines_kept"
+    ENGINES_RESERVED = "engines_kept"
     STORE_RATE = "store_rate"
-    HOME_BUSY = "home_busy"
-    DISPLACES_MORE = "displaces_more"
+    DISK_COPY_BUSY = "home_busy"
+    LOSS_EXCEEDS_GAIN = "displaces_more"
 
 
 class Unplaced(NamedTuple):
-    """A model that requests wait for and that no step loads.
+    """A model with waiting requests that no step loads.
 
     Attributes:
         model: The model.
-        obstacle: Why not.
-        waiting: Requests that wait for it.
-        gain: Requests a second that would gain by it.
-        loss: What its cheapest step's victims lose; 0 if there is no step.
+        obstacle: Why it is not loaded.
+        waiting: Number of requests that wait for it.
+        gain: Gain of loading it, in requests per second.
+        loss: Loss of the victims of the step with the lowest cost, in requests
+            per second; 0 if there is no step.
     """
 
     model: str
@@ -126,12 +134,12 @@
     loss: float
 
 
-class Round(NamedTuple):
-    """The result of one round of planning.
+class PlanResult(NamedTuple):
+    """Result of one round of planning.
 
     Attributes:
-        steps: What to begin now, at most one step for an engine.
-        unplaced: What requests wait for and no step loads.
+        steps: Steps to start now, at most one for each engine.
+        unplaced: Models with waiting requests that no step loads.
     """
 
     steps: list[Step]
