--- a/packages/endivestream/src/endivestream/version/placement.py
+++ b/packages/endivestream/src/endivestream/version/placement.py
@@ -1,8 +1,8 @@
-"""The placement planner: which model to load where. A pure function.
+"""Plans the loads that give models their minimum number of copies. Pure.
 
 This first planner only makes models reachable: a model with fewer copies than
-its rule asks for is loaded where memory is free, models without any copy
-first. It never unloads; moving copies after demand comes with issue 6.
+its rule requires is loaded where memory is free, models without any copy
+first. It never unloads; moving copies according to demand comes with issue 6.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 
 class Load(NamedTuple):
-    """An order to propose.
+    """A planned order to load a model.
 
     Attributes:
-        target: Target's name.
-        incarnation: The incarnation planned for.
+        target: Name of the target.
+        incarnation: The target's incarnation at planning time.
         model: Model to load.
-        memory: Its size in MiB.
-        reason: Why, for the log line.
+        memory: Size of the model, in MiB.
+        reason: Reason of the load, for the log.
     """
 
     target: str
@@ -34,12 +34,12 @@
 
 
 class Unplaced(NamedTuple):
-    """A copy that has no room.
+    """A required copy that fits on no target.
 
     Attributes:
         model: The model.
-        memory: Its size in MiB.
-        largest_free: The most free memory on one live target, in MiB.
+        memory: Size of the model, in MiB.
+        largest_free: Maximum of free memory on one live target, in MiB.
     """
 
     model: str
@@ -48,34 +48,35 @@
 
 
 class Plan(NamedTuple):
-    """What to do, and what cannot be done."""
+    """Loads to order, and copies that fit on no target."""
 
     loads: list[Load]
     unplaced: list[Unplaced]
 
 
 class Pace:
-    """How many loads the weight store's rate allows now.
+    """Token bucket that limits loads to the rate of the weight store.
 
-    The store slows all loads down when asked too fast (symptom: after a lost
-    domain every model comes late, in place of the first ones soon).
+    The store slows down all concurrent loads when they exceed its rate
+    (symptom: after the loss of a failure domain every model is late, instead
+    of the first ones being ready early).
     """
 
     def __init__(self, *, rate: float, now: float) -> None:
         self._rate = rate
-        self._credit = 1.0
-        self._at = now
+        self._tokens = 1.0
+        self._refilled_at = now
 
     def allowed(self, now: float) -> int:
         """Returns how many loads may start now; at most a second's worth."""
-        gained = max(0.0, now - self._at) * self._rate
-        self._credit = min(max(1.0, self._rate), self._credit + gained)
-        self._at = max(self._at, now)
-        return int(self._credit)
+        added = max(0.0, now - self._refilled_at) * self._rate
+        self._tokens = min(max(1.0, self._rate), self._tokens + added)
+        self._refilled_at = max(self._refilled_at, now)
+        return int(self._tokens)
 
     def started(self, loads: int) -> None:
-        """Notes loads that start."""
-        self._credit -= loads
+        """Takes the tokens of loads that start."""
+        self._tokens -= loads
 
 
 def plan(
@@ -90,55 +91,55 @@
 
     Args:
         models: The models of the rules, by name.
-        targets: The ledger's targets, by name.
+        targets: The targets of the ledger, by name.
         live: Names of targets that report and are not draining.
-        most_loads: How many orders may be under way at once, those of the
-            ledger that are not confirmed yet included.
-        most_new: How many orders may be added now; see `Pace`.
+        most_loads: Maximum of concurrent orders, including those of the ledger
+            that are not confirmed yet.
+        most_new: Maximum of new orders; see `Pace`.
 
     Returns:
-        New loads, at most as many as the budget leaves, and copies without
-        room.
+        New loads within both limits, and copies that fit on no target.
     """
-    free = {
+    free_memory = {
         name: targets[name].memory - targets[name].held
         for name in live
         if name in targets
     }
-    held: dict[str, set[str]] = {}
-    under_way = 0
-    for name in free:
+    holders_by_model: dict[str, set[str]] = {}
+    unconfirmed = 0
+    for name in free_memory:
         for model, entry in targets[name].entries.items():
-            held.setdefault(model, set()).add(name)
-            under_way += not entry.loaded
-    budget = min(most_new, max(0, most_loads - under_way))
+            holders_by_model.setdefault(model, set()).add(name)
+            unconfirmed += not entry.loaded
+    budget = min(most_new, max(0, most_loads - unconfirmed))
     loads: list[Load] = []
     unplaced: list[Unplaced] = []
     # Models without a copy come first, and among those the large ones, which
-    # fit in the fewest places.
-    missing = sorted(
-        (len(held.get(m.name, ())) + extra, -m.memory, m.name)
+    # fit on the fewest targets.
+    missing_copies = sorted(
+        (len(holders_by_model.get(m.name, ())) + extra, -m.memory, m.name)
         for m in models.values()
-        for extra in range(m.copies - len(held.get(m.name, ())))
+        for extra in range(m.copies - len(holders_by_model.get(m.name, ())))
     )
-    for copies, negative, name in missing:
-        memory = -negative
-        holders = held.setdefault(name, set())
+    for copies, negative_memory, name in missing_copies:
+        memory = -negative_memory
+        holders = holders_by_model.setdefault(name, set())
         domains = {targets[holder].domain for holder in holders}
-        fitting = [
-            (targets[t].domain in domains, -room, t)
-            for t, room in free.items()
-            if room >= memory and t not in holders
+        candidates = [
+            (targets[t].domain in domains, -free, t)
+            for t, free in free_memory.items()
+            if free >= memory and t not in holders
         ]
-        if not fitting:
-            largest = max(free.values(), default=0)
-            unplaced.append(Unplaced(name, memory, largest))
+        if not candidates:
+            largest_free = max(free_memory.values(), default=0)
+            unplaced.append(Unplaced(name, memory, largest_free))
             continue
         if len(loads) >= budget:
             continue
-        # Another failure domain first, then the emptiest target.
-        chosen = min(fitting)[2]
-        free[chosen] -= memory
+        # Prefers another failure domain, then the target with the most free
+        # memory.
+        chosen = min(candidates)[2]
+        free_memory[chosen] -= memory
         holders.add(chosen)
         reason = "no_copy" if copies == 0 else "too_few_copies"
         loads.append(
--- a/packages/endivestream/src/endivestream/version/rules.py
+++ b/packages/endivestream/src/endivestream/version/rules.py
@@ -1,7 +1,7 @@
-"""The operators' rules: a text file, one line a rule.
+"""Parser of the operators' rules: a text file with one rule on each line.
 
-A line is `KIND NAME option=value ... # who asked`. All faults of a text are
-found in one pass and returned together; a text with a fault is never applied.
+A line is `KIND NAME option=value ... # who asked`. All errors of a text are
+found in one pass and returned together; a text with an error is never applied.
 The grammar is described for operators in docs/operators/rules.md.
 """
 
@@ -16,18 +16,18 @@
 
 from endivestream import findings
 
-_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:/-]{0,119}\Z")
-_DIGEST = re.compile(r"[0-9a-f]{64}\Z")
+_NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:/-]{0,119}\Z")
+_DIGEST_PATTERN = re.compile(r"[0-9a-f]{64}\Z")
 
 
 class Team(NamedTuple):
-    """A tenant with its share of the whole fleet.
+    """A team and its share of the capacity of all hosts.
 
     Attributes:
         name: The name that keys and `allow` lines use.
-        rate: Tokens a second over all hosts together.
-        burst: Tokens that may be taken at once.
-        weight: Share in fair queueing, relative to other teams.
+        rate: Tokens per second over all hosts together.
+        burst: Maximum of tokens that may be spent without a wait.
+        weight: Weight in fair queueing, relative to other teams.
     """
 
     name: str
@@ -37,13 +37,13 @@
 
 
 class Model(NamedTuple):
-    """A model that must stay reachable.
+    """A model that must be kept loaded.
 
     Attributes:
-        name: The name callers ask for.
+        name: The model name in requests.
         memory: Accelerator memory of one copy, in MiB.
-        copies: The least number of loaded copies.
-        max_tokens: Tokens generated when a request names no maximum.
+        copies: Minimum number of loaded copies.
+        max_tokens: Maximum of generated tokens for requests that set none.
     """
 
     name: str
@@ -53,12 +53,12 @@
 
 
 class Adapter(NamedTuple):
-    """A small set of weights served on top of a model.
+    """A small set of weights that is applied on top of a model.
 
     Attributes:
-        name: The name callers ask for, as if it were a model.
-        model: The model it belongs to.
-        memory: Accelerator memory in a target's adapter arena, in MiB.
+        name: The name in requests, in place of a model name.
+        model: Name of the model that it belongs to.
+        memory: Size in a target's adapter memory, in MiB.
     """
 
     name: str
@@ -67,13 +67,13 @@
 
 
 class Service(NamedTuple):
-    """A plain service that stands beside the engines.
+    """A plain service, as opposed to the engines that serve models.
 
     Attributes:
         name: The name in `/v1/services/NAME/`.
-        idempotent: Whether a call may be sent twice. A non-idempotent one
+        idempotent: Whether a call may be sent twice. A non-idempotent call
             needs an Idempotency-Key and runs at most once.
-        cost: Tokens charged to the team for a call.
+        cost: Tokens charged to the team for each call.
     """
 
     name: str
@@ -82,11 +82,11 @@
 
 
 class Key(NamedTuple):
-    """A caller's key; only its digest is known here.
+    """A caller's key, stored as its digest only.
 
     Attributes:
-        label: The name operators use for it.
-        team: The team whose work it opens.
+        label: Name of the key for operators.
+        team: Name of the team that it authenticates.
         digest: SHA-256 of the key, hexadecimal.
     """
 
@@ -96,15 +96,16 @@
 
 
 class Rules(NamedTuple):
-    """A whole, checked rules text.
+    """A complete and valid rules text.
 
     Attributes:
-        teams: By name.
-        models: By name.
-        adapters: By name.
-        services: By name.
-        keys: By label; only those written in the text.
-        allowed: For each team the models, adapters and services it may use.
+        teams: Teams by name.
+        models: Models by name.
+        adapters: Adapters by name.
+        services: Services by name.
+        keys: Keys by label; only those that the text defines.
+        allowed: Names of the models, adapters and services that each team may
+            use, by team.
     """
 
     teams: Mapping[str, Team]
@@ -115,7 +116,7 @@
     allowed: Mapping[str, frozenset[str]]
 
     def model_of(self, name: str) -> str | None:
-        """Returns the model behind a model's or adapter's name, or None."""
+        """Returns the model that serves a model or adapter name, or None."""
         if name in self.models:
             return name
         adapter = self.adapters.get(name)
@@ -123,74 +124,75 @@
 
 
 class _Option(NamedTuple):
-    """How one `option=value` is read.
+    """How one `option=value` is parsed.
 
     Attributes:
-        read: Turns the text into a value, or raises ValueError.
-        expected: What the reader takes, for findings.
-        default: The value when absent; `_NEEDED` when it must be given.
+        parse: Converts the text to a value; raises ValueError or KeyError.
+        expected: Description of the accepted values, for findings.
+        default: The value if absent; `_REQUIRED` if it must be given.
     """
 
-    read: Callable[[str], Any]
+    parse: Callable[[str], Any]
     expected: str
     default: Any
 
 
-_NEEDED = object()
+_REQUIRED = object()
 
 
-def _positive(text: str) -> int:
+def _parse_positive_int(text: str) -> int:
     value = int(text)
     if not 0 < value < 2**53:
         raise ValueError(text)
     return value
 
 
-def _yes_no(text: str) -> bool:
+def _parse_yes_no(text: str) -> bool:
     return {"yes": True, "no": False}[text]
 
 
-def _digest(text: str) -> str:
-    if not _DIGEST.match(text):
+def _parse_digest(text: str) -> str:
+    if not _DIGEST_PATTERN.match(text):
         raise ValueError(text)
     return text
 
 
-def _count(default: Any) -> _Option:
-    return _Option(_positive, "a whole number above 0", default)
+def _count_option(default: Any) -> _Option:
+    return _Option(_parse_positive_int, "a whole number above 0", default)
 
 
-def _word() -> _Option:
-    return _Option(str, "a name", _NEEDED)
+def _name_option() -> _Option:
+    return _Option(str, "a name", _REQUIRED)
 
 
-# Kind -> options. `allow` takes bare names instead and stands apart.
-_KINDS: dict[str, dict[str, _Option]] = {
+# Options by kind of rule. `allow` takes names instead of options and is parsed
+# separately.
+_OPTIONS_BY_KIND: dict[str, dict[str, _Option]] = {
     "team": {
-        "rate": _count(_NEEDED),
-        "burst": _count(_NEEDED),
-        "weight": _count(1),
+        "rate": _count_option(_REQUIRED),
+        "burst": _count_option(_REQUIRED),
+        "weight": _count_option(1),
     },
     "key": {
-        "team": _word(),
-        "sha256": _Option(_digest, "64 hexadecimal digits", _NEEDED),
+        "team": _name_option(),
+        "sha256": _Option(_parse_digest, "64 hexadecimal digits", _REQUIRED),
     },
     "model": {
-        "memory": _count(_NEEDED),
-        "copies": _count(1),
-        "max_tokens": _count(512),
+        "memory": _count_option(_REQUIRED),
+        "copies": _count_option(1),
+        "max_tokens": _count_option(512),
     },
-    "adapter": {"model": _word(), "memory": _count(_NEEDED)},
+    "adapter": {"model": _name_option(), "memory": _count_option(_REQUIRED)},
     "service": {
-        "idempotent": _Option(_yes_no, "yes or no", False),
-        "cost": _count(1),
+        "idempotent": _Option(_parse_yes_no, "yes or no", False),
+        "cost": _count_option(1),
     },
     "allow": {},
 }
 
 
-class _Line(NamedTuple):
-    """One rule as written: its words, each with its place."""
+class _ParsedLine(NamedTuple):
+    """One parsed rule, and its words with their positions in the text."""
 
     kind: str
     name: str
@@ -199,105 +201,113 @@
 
 
 class _Parser:
-    """Collects lines and findings of one text."""
+    """Parses the lines of one text and collects its findings."""
 
     def __init__(self, *, source: str) -> None:
         self._source = source
-        self.found: list[findings.Finding] = []
+        self.findings: list[findings.Finding] = []
 
-    def _report(self, place: findings.Place, what: str) -> None:
-        self.found.append(findings.Finding(place, what))
+    def _add_finding(self, place: findings.Place, message: str) -> None:
+        self.findings.append(findings.Finding(place, message))
 
-    def line(self, number: int, text: str) -> _Line | None:
-        """Reads one line; None for an empty, pure comment or faulty one."""
+    def parse_line(self, number: int, text: str) -> _ParsedLine | None:
+        """Parses one line; None if it has no rule or an invalid one."""
         start = findings.Place(self._source, number, 1)
         rule, comment = _split_comment(text)
         if not rule.strip():
             return None
         if not comment:
-            self._report(start, "no comment that names who asked ('# name')")
+            self._add_finding(
+                start, "no comment that names who asked ('# name')"
+            )
         try:
-            plain = shlex.split(rule)
+            unquoted = shlex.split(rule)
         except ValueError as error:
-            self._report(start, f"cannot be split into words: {error}")
+            self._add_finding(start, f"cannot be split into words: {error}")
             return None
-        words = self._place_words(number, rule, plain)
+        words = self._locate_words(number, rule, unquoted)
         place, kind = words[0]
-        if kind not in _KINDS:
-            self._report(
-                place, findings.unknown_word("kind of rule", kind, _KINDS)
+        if kind not in _OPTIONS_BY_KIND:
+            self._add_finding(
+                place,
+                findings.unknown_word("kind of rule", kind, _OPTIONS_BY_KIND),
             )
             return None
         if len(words) < 2:
-            self._report(place, f"{kind!r} needs a name after it")
+            self._add_finding(place, f"{kind!r} needs a name after it")
             return None
         place, name = words[1]
-        if not _NAME.match(name):
-            self._report(
+        if not _NAME_PATTERN.match(name):
+            self._add_finding(
                 place,
                 f"{name!r} is not a name: letters, digits and . _ : / - only",
             )
             return None
         if kind == "allow":
             if len(words) < 3:
-                self._report(place, "'allow' needs at least one name to allow")
-            return _Line(kind, name, {}, words)
-        options = self._options(kind, words[1][0], words[2:])
-        return None if options is None else _Line(kind, name, options, words)
-
-    def _place_words(
-        self, number: int, rule: str, plain: list[str]
+                self._add_finding(
+                    place, "'allow' needs at least one name to allow"
+                )
+            return _ParsedLine(kind, name, {}, words)
+        options = self._parse_options(kind, words[1][0], words[2:])
+        return (
+            None if options is None else _ParsedLine(kind, name, options, words)
+        )
+
+    def _locate_words(
+        self, number: int, rule: str, unquoted: list[str]
     ) -> list[tuple[findings.Place, str]]:
-        placed = []
+        located = []
         position = 0
-        for word in plain:
-            found = rule.find(word, position)
-            # Quoting can hide a word from `find`; the last place is near.
-            position = found if found >= 0 else position
+        for word in unquoted:
+            index = rule.find(word, position)
+            # `find` misses a word whose quotes were removed; the position of
+            # the previous word is close enough.
+            position = index if index >= 0 else position
             place = findings.Place(self._source, number, position + 1)
-            placed.append((place, word))
-            position += len(word) if found >= 0 else 0
-        return placed
+            located.append((place, word))
+            position += len(word) if index >= 0 else 0
+        return located
 
-    def _options(
+    def _parse_options(
         self,
         kind: str,
-        after: findings.Place,
+        name_place: findings.Place,
         words: list[tuple[findings.Place, str]],
     ) -> dict[str, Any] | None:
-        known = _KINDS[kind]
+        options = _OPTIONS_BY_KIND[kind]
         values: dict[str, Any] = {}
-        sound = True
+        valid = True
         for place, word in words:
             name, equals, text = word.partition("=")
-            if name not in known or not equals:
-                what = findings.unknown_word(f"{kind} option", name, known)
-                self._report(place, what)
-                sound = False
+            if name not in options or not equals:
+                message = findings.unknown_word(f"{kind} option", name, options)
+                self._add_finding(place, message)
+                valid = False
                 continue
             if name in values:
-                self._report(place, f"{name!r} is given twice")
-                sound = False
+                self._add_finding(place, f"{name!r} is given twice")
+                valid = False
                 continue
             try:
-                values[name] = known[name].read(text)
+                values[name] = options[name].parse(text)
             except (ValueError, KeyError):
-                self._report(
-                    place, f"{name}={text!r}: expected {known[name].expected}"
+                self._add_finding(
+                    place, f"{name}={text!r}: expected {options[name].expected}"
                 )
-                sound = False
-        for name, option in known.items():
+                valid = False
+        for name, option in options.items():
             if name in values:
                 continue
-            if option.default is _NEEDED:
-                if sound:
-                    self._report(
-                        after,
+            if option.default is _REQUIRED:
+                if valid:
+                    self._add_finding(
+                        name_place,
                         f"{kind!r} needs {name}=, {option.expected}",
                     )
-                sound = False
+                valid = False
             values[name] = option.default
-        return values if sound else None
+        return values if valid else None
 
 
 def _split_comment(text: str) -> tuple[str, str]:
@@ -311,29 +321,29 @@
 def parse(
     text: str, *, source: str = "rules"
 ) -> Rules | list[findings.Finding]:
-    """Reads a rules text.
+    """Parses a rules text.
 
     Args:
-        text: The whole text.
-        source: The file's name, for findings.
+        text: The complete text.
+        source: Name of the file, for findings.
 
     Returns:
-        The rules, or every finding in the order of its line.
+        The rules, or all findings in the order of their lines.
     """
     parser = _Parser(source=source)
     lines = []
     for number, raw in enumerate(text.splitlines(), start=1):
-        line = parser.line(number, raw)
+        line = parser.parse_line(number, raw)
         if line:
             lines.append(line)
-    rules = _build(parser, lines)
-    if parser.found:
-        return sorted(parser.found)
+    rules = _build_rules(parser, lines)
+    if parser.findings:
+        return sorted(parser.findings)
     return rules
 
 
-def _build(parser: _Parser, lines: list[_Line]) -> Rules:
-    """Resolves names between lines; reports unknown and doubled ones."""
+def _build_rules(parser: _Parser, lines: list[_ParsedLine]) -> Rules:
+    """Builds the rules; reports unknown and duplicate names."""
     teams: dict[str, Team] = {}
     models: dict[str, Model] = {}
     adapters: dict[str, Adapter] = {}
@@ -344,14 +354,15 @@
         place = line.words[1][0]
         if line.kind == "allow":
             continue
-        # Callers ask for adapters as models, so the two share their names.
-        space = "model" if line.kind == "adapter" else line.kind
-        earlier = defined.setdefault((space, line.name), place.line)
-        if earlier != place.line:
-            parser.found.append(
+        # Requests name an adapter in place of a model, so adapters and models
+        # share one namespace.
+        namespace = "model" if line.kind == "adapter" else line.kind
+        line_no = defined.setdefault((namespace, line.name), place.line)
+        if line_no != place.line:
+            parser.findings.append(
                 findings.Finding(
                     place,
-                    f"{line.kind} {line.name!r} is defined on line {earlier}",
+                    f"{line.kind} {line.name!r} is defined on line {line_no}",
                 )
             )
             continue
@@ -368,39 +379,47 @@
                 keys[line.name] = Key(
                     line.name, line.options["team"], line.options["sha256"]
                 )
-    allowed = _resolve(parser, lines, teams, models, adapters, services)
+    allowed = _resolve_allowed_names(
+        parser, lines, teams, models, adapters, services
+    )
     return Rules(teams, models, adapters, services, keys, allowed)
 
 
-def _resolve(
+def _resolve_allowed_names(
     parser: _Parser,
-    lines: list[_Line],
+    lines: list[_ParsedLine],
     teams: dict[str, Team],
     models: dict[str, Model],
     adapters: dict[str, Adapter],
     services: dict[str, Service],
 ) -> dict[str, frozenset[str]]:
-    targets = {*models, *adapters, *services}
+    allowable = {*models, *adapters, *services}
     allowed: dict[str, frozenset[str]] = dict.fromkeys(teams, frozenset())
 
-    def check(kind: str, place: findings.Place, name: str, valid: Any) -> bool:
-        if name in valid:
+    def check_defined(
+        kind: str, place: findings.Place, name: str, defined: Any
+    ) -> bool:
+        if name in defined:
             return True
-        what = findings.unknown_word(kind, name, valid)
-        parser.found.append(findings.Finding(place, what))
+        message = findings.unknown_word(kind, name, defined)
+        parser.findings.append(findings.Finding(place, message))
         return False
 
     for line in lines:
         if line.kind == "key":
-            check("team", line.words[1][0], line.options["team"], teams)
+            check_defined("team", line.words[1][0], line.options["team"], teams)
         elif line.kind == "adapter":
-            check("model", line.words[1][0], line.options["model"], models)
+            check_defined(
+                "model", line.words[1][0], line.options["model"], models
+            )
         elif line.kind == "allow":
             names = frozenset(
                 name
                 for place, name in line.words[2:]
-                if check("model, adapter or service", place, name, targets)
+                if check_defined(
+                    "model, adapter or service", place, name, allowable
+                )
             )
-            if check("team", line.words[1][0], line.name, teams):
+            if check_defined("team", line.words[1][0], line.name, teams):
                 allowed[line.name] = allowed[line.name] | names
     return allowed
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -33,20 +33,21 @@
         self.ledger = ledger_lib.Ledger()
         self.ledger.apply(1, _register("t"))
 
-    def test_two_planners_cannot_overcommit(self):
-        """The second planner's order is refused with the arithmetic.
+    def test_two_planners_cannot_overcommit_a_target(self):
+        """Guards against orders that together exceed a target's memory.
 
-        Both planned from the same view of 100 MiB free.
+        Both planners plan from the same state, 100 MiB free. The second order
+        is refused, and the reason states both sizes.
         """
         first = self.ledger.apply(2, _intend("t", "a", 60))
         second = self.ledger.apply(3, _intend("t", "b", 60))
         self.assertEqual(first, ledger_lib.Reserved(fence=2))
         self.assertIn("60 MiB held + 60 MiB", second.reason)
 
-    def test_same_order_again_keeps_its_fence(self):
+    def test_repeated_order_keeps_its_fencing_token(self):
         self.ledger.apply(2, _intend("t", "a", 60))
-        again = self.ledger.apply(7, _intend("t", "a", 60))
-        self.assertEqual(again, ledger_lib.Reserved(fence=2))
+        repeated = self.ledger.apply(7, _intend("t", "a", 60))
+        self.assertEqual(repeated, ledger_lib.Reserved(fence=2))
 
     def test_orders_for_an_older_incarnation_are_refused(self):
         self.ledger.apply(2, _register("t", incarnation=2))
@@ -86,13 +87,15 @@
 
 
 class PlanTest(unittest.TestCase):
-    def _plan(self, models, ledger, live=("t1", "t2"), most=100, new=100):
+    def _plan(
+        self, models, ledger, live=("t1", "t2"), max_loads=100, max_new=100
+    ):
         return placement.plan(
             {model.name: model for model in models},
             ledger.targets,
             live=live,
-            most_loads=most,
-            most_new=new,
+            most_loads=max_loads,
+            most_new=max_new,
         )
 
     def setUp(self):
@@ -112,14 +115,16 @@
         )
         self.assertEqual({load.target for load in plan.loads}, {"t3", "t2"})
 
-    def test_orders_under_way_use_up_the_budget(self):
+    def test_unconfirmed_orders_count_towards_the_limit(self):
         self.ledger.apply(3, _intend("t1", "a", 10))
-        plan = self._plan([_model("b", 1), _model("c", 1)], self.ledger, most=2)
+        plan = self._plan(
+            [_model("b", 1), _model("c", 1)], self.ledger, max_loads=2
+        )
         self.assertEqual(len(plan.loads), 1)
 
-    def test_rate_of_the_store_bounds_new_orders(self):
+    def test_the_rate_of_the_store_limits_new_orders(self):
         models = [_model(name, 1) for name in "abcd"]
-        plan = self._plan(models, self.ledger, new=3)
+        plan = self._plan(models, self.ledger, max_new=3)
         self.assertEqual(len(plan.loads), 3)
 
     @hypothesis.given(
@@ -127,7 +132,7 @@
         st.sampled_from([0.5, 2.5, 3.0]),
     )
     def test_pace_keeps_to_the_rate_in_every_window(self, steps, rate):
-        """The store is never asked for more than its rate and one second."""
+        """Loads in any window stay within the rate plus one second's worth."""
         pace = placement.Pace(rate=rate, now=0.0)
         now, starts = 0.0, []
         for milliseconds in steps:
@@ -135,15 +140,15 @@
             loads = pace.allowed(now)
             pace.started(loads)
             starts += [now] * loads
-        for first, since in enumerate(starts):
+        for first, window_start in enumerate(starts):
             for last in range(first, len(starts)):
                 count = last - first + 1
-                window = starts[last] - since
+                window_seconds = starts[last] - window_start
                 self.assertLessEqual(
-                    count, max(1.0, rate) + rate * window + 1e-6
+                    count, max(1.0, rate) + rate * window_seconds + 1e-6
                 )
 
-    def test_copy_without_room_is_named_with_the_arithmetic(self):
+    def test_a_copy_that_fits_on_no_target_is_reported_with_its_size(self):
         plan = self._plan([_model("big", 500)], self.ledger)
         self.assertEqual(plan.unplaced, [placement.Unplaced("big", 500, 100)])
 
