--- a/packages/endivestream/src/endivestream/version/configuration.py
+++ b/packages/endivestream/src/endivestream/version/configuration.py
@@ -1,8 +1,8 @@
 """The configuration: the rules text and the keys, under one version.
 
-`Configuration` is the replicated side, changed by commands from the log.
-`View` is a gateway's copy, brought up to date by `Update`s. An update carries
-whatever changed after the receiver's version, so a gateway that slept through
+`Configuration` is the replicated state, changed by commands from the log.
+`View` is a gateway's copy, kept current by `Update`s. An update contains
+everything that changed after the receiver's version, so a gateway that missed
 any number of changes catches up in one exchange, without a list of changes.
 """
 
@@ -17,21 +17,22 @@
 from endivestream import findings
 from endivestream.version import rules as rules_lib
 
-# How many changes `history` and the answers to resent changes reach back;
-# nearly four days at 1,100 changes a day.
-HISTORY_KEPT = 4096
+# Changes that are kept for `history` and to recognize resent changes; nearly
+# four days at 1,100 changes a day.
+MAX_HISTORY_CHANGES = 4096
 
 
 class ApplyRules(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Replaces the whole rules text.
+    """Replaces the complete rules text.
 
     Attributes:
-        text: The new text.
-        expected_version: The version of the text it was edited from.
-        change_id: Chosen by the sender; the same id may be sent again.
-        author: Who changes.
-        comment: Why.
-        at: Unix time in seconds, as the proposer saw it.
+        text: The new rules text.
+        expected_version: Version of the rules text that was edited.
+        change_id: Idempotency id chosen by the sender; a resent change has
+            the same id.
+        author: Author of the change.
+        comment: Reason for the change.
+        at: Unix time in seconds, by the proposer's clock.
     """
 
     text: str
@@ -47,10 +48,10 @@
 
     Attributes:
         label: Name of the key, unique among live keys.
-        team: Team whose work it opens.
+        team: Name of the team that it authenticates.
         digest: SHA-256 of the key, hexadecimal.
         change_id: As in `ApplyRules`.
-        author: Who changes.
+        author: Author of the change.
         at: Unix time in seconds.
     """
 
@@ -63,12 +64,12 @@
 
 
 class RevokeKey(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Withdraws a key for good.
+    """Revokes a key permanently.
 
     Attributes:
-        label: The key's name.
+        label: Name of the key.
         change_id: As in `ApplyRules`.
-        author: Who changes.
+        author: Author of the change.
         at: Unix time in seconds.
     """
 
@@ -82,11 +83,11 @@
 
 
 class Applied(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """The change holds.
+    """Result of an accepted change.
 
     Attributes:
-        version: The configuration's version that brought it.
-        repeated: True when an earlier send of the same change brought it.
+        version: Configuration version that the change created.
+        repeated: Whether the change had been applied before and was resent.
     """
 
     version: int
@@ -94,12 +95,12 @@
 
 
 class Conflict(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Another change came first.
+    """Result of a change that was edited from an outdated rules text.
 
     Attributes:
-        version: Current version of the rules text.
-        author: Who made the change that won.
-        change_id: The id of the change that won.
+        version: Version of the current rules text.
+        author: Author of the change that made the current rules text.
+        change_id: Id of that change.
     """
 
     version: int
@@ -108,10 +109,10 @@
 
 
 class Rejected(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """The change is faulty in itself.
+    """Result of an invalid change.
 
     Attributes:
-        findings: Every fault, ready to print.
+        findings: All errors, as text to print.
     """
 
     findings: list[str]
@@ -121,15 +122,16 @@
 
 
 class Change(NamedTuple):
-    """One line of the history.
+    """One accepted change in the history.
 
     Attributes:
-        version: The version it brought.
+        version: Configuration version that it created.
         at: Unix time in seconds.
-        author: Who changed.
-        comment: Why, or what was changed.
-        change_id: The sender's id.
-        fingerprint: Digest of the content, to tell a resend from a reuse.
+        author: Author of the change.
+        comment: Reason for the change, or a description of it.
+        change_id: Id chosen by the sender.
+        fingerprint: Digest of the content. It distinguishes a resent change
+            from another change with the same id.
     """
 
     version: int
@@ -141,16 +143,17 @@
 
 
 class KeyRecord(NamedTuple):
-    """A key's digest and its fate.
+    """A key's digest and state.
 
     Attributes:
         digest: SHA-256, hexadecimal.
-        label: The key's name.
-        team: The team it opens.
-        changed: The version that made or withdrew it.
-        revoked: A withdrawn digest stays known, so that no later text or
-            command brings it back.
-        from_rules: It stands in the rules text and goes when its line goes.
+        label: Name of the key.
+        team: Name of the team that it authenticates.
+        changed: Configuration version that created or revoked it.
+        revoked: Whether it is revoked. The record of a revoked digest is kept,
+            so that no later text or command can restore the key.
+        from_rules: Whether it is defined in the rules text; it is then revoked
+            when its line is removed.
     """
 
     digest: str
@@ -162,14 +165,14 @@
 
 
 class Update(msgspec.Struct, frozen=True, kw_only=True):
-    """What changed after a version.
+    """Changes of the configuration after a version.
 
     Attributes:
-        base: The version it builds on; 0 when it is whole.
-        version: The version it leads to.
-        rules_version: The version of the rules text.
-        text: The rules text if it changed, else None.
-        keys: Keys made or withdrawn after `base`.
+        base: Version that it is based on; 0 if it is complete.
+        version: Version of the configuration with these changes.
+        rules_version: Version of the rules text.
+        text: The rules text if it changed after `base`, else None.
+        keys: Keys created or revoked after `base`.
     """
 
     base: int
@@ -180,7 +183,7 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, kw_only=True):
-    """The whole configuration, as it is stored."""
+    """The complete configuration, as it is stored."""
 
     version: int
     rules_version: int
@@ -190,12 +193,12 @@
 
 
 def fingerprint(*parts: str) -> str:
-    """Returns a digest by which equal contents are recognized."""
+    """Returns a digest that is equal for equal contents."""
     return hashlib.sha256("\0".join(parts).encode()).hexdigest()[:32]
 
 
 def digest_of(key: str) -> str:
-    """Returns the stored form of a caller's key."""
+    """Returns the digest under which a caller's key is stored."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
@@ -206,41 +209,41 @@
         self._version = 0
         self._rules_version = 0
         self._text = ""
-        empty = rules_lib.parse("")
-        assert isinstance(empty, rules_lib.Rules)
-        self._rules = empty
+        empty_rules = rules_lib.parse("")
+        assert isinstance(empty_rules, rules_lib.Rules)
+        self._rules = empty_rules
         self._keys: dict[str, KeyRecord] = {}
         self._history: list[Change] = []
-        self._by_change: dict[str, Change] = {}
+        self._changes_by_id: dict[str, Change] = {}
 
     @property
     def version(self) -> int:
-        """The number of the last accepted change."""
+        """Version that the last accepted change created."""
         return self._version
 
     @property
     def rules_version(self) -> int:
-        """The version that brought the present rules text."""
+        """Configuration version that created the current rules text."""
         return self._rules_version
 
     @property
     def text(self) -> str:
-        """The rules text."""
+        """The current rules text."""
         return self._text
 
     @property
     def rules(self) -> rules_lib.Rules:
-        """The rules text, read."""
+        """The current rules text, parsed."""
         return self._rules
 
     @property
     def keys(self) -> list[KeyRecord]:
-        """All keys, withdrawn ones too."""
+        """All keys, including revoked ones."""
         return list(self._keys.values())
 
     @property
     def history(self) -> list[Change]:
-        """The last changes, oldest first."""
+        """The latest changes, oldest first."""
         return list(self._history)
 
     def __repr__(self) -> str:
@@ -251,55 +254,57 @@
         )
 
     def apply(self, command: Command) -> Result:
-        """Applies one command in log order; the same on every replica."""
+        """Applies a command in log order; deterministic on every replica."""
         match command:
             case ApplyRules(text=text):
-                content = fingerprint("rules", text)
+                content_digest = fingerprint("rules", text)
             case CreateKey(label=label, team=team, digest=digest):
-                content = fingerprint("create", label, team, digest)
+                content_digest = fingerprint("create", label, team, digest)
             case RevokeKey(label=label):
-                content = fingerprint("revoke", label)
-        earlier = self._by_change.get(command.change_id)
-        if earlier is not None:
-            if earlier.fingerprint == content:
-                return Applied(version=earlier.version, repeated=True)
-            what = f"change id {command.change_id!r} was used for other content"
-            return Rejected(findings=[what])
+                content_digest = fingerprint("revoke", label)
+        previous = self._changes_by_id.get(command.change_id)
+        if previous is not None:
+            if previous.fingerprint == content_digest:
+                return Applied(version=previous.version, repeated=True)
+            message = (
+                f"change id {command.change_id!r} was used for other content"
+            )
+            return Rejected(findings=[message])
         match command:
             case ApplyRules():
-                failed = self._apply_rules(command)
+                failure = self._apply_rules(command)
                 comment = command.comment
             case CreateKey():
-                failed = self._create_key(command)
+                failure = self._create_key(command)
                 comment = f"key {command.label} for team {command.team}"
             case RevokeKey():
-                failed = self._revoke_key(command)
+                failure = self._revoke_key(command)
                 comment = f"key {command.label} withdrawn"
-        if failed is not None:
-            return failed
+        if failure is not None:
+            return failure
         self._version += 1
-        self._remember(
+        self._add_to_history(
             Change(
                 self._version,
                 command.at,
                 command.author,
                 comment,
                 command.change_id,
-                content,
+                content_digest,
             )
         )
         return Applied(version=self._version)
 
-    def _remember(self, change: Change) -> None:
+    def _add_to_history(self, change: Change) -> None:
         self._history.append(change)
-        self._by_change[change.change_id] = change
-        if len(self._history) > HISTORY_KEPT:
+        self._changes_by_id[change.change_id] = change
+        if len(self._history) > MAX_HISTORY_CHANGES:
             oldest = self._history.pop(0)
-            self._by_change.pop(oldest.change_id, None)
+            self._changes_by_id.pop(oldest.change_id, None)
 
     def _apply_rules(self, command: ApplyRules) -> Result | None:
         if command.expected_version != self._rules_version:
-            last = self._last_rules_change()
+            last = self._find_last_rules_change()
             return Conflict(
                 version=self._rules_version,
                 author=last.author if last else "",
@@ -308,21 +313,21 @@
         parsed = rules_lib.parse(command.text)
         if not isinstance(parsed, rules_lib.Rules):
             return Rejected(findings=[str(found) for found in parsed])
-        faults = self._key_faults(parsed)
-        if faults:
-            return Rejected(findings=faults)
+        errors = self._find_key_errors(parsed)
+        if errors:
+            return Rejected(findings=errors)
         next_version = self._version + 1
-        wanted = {key.digest: key for key in parsed.keys.values()}
+        listed = {key.digest: key for key in parsed.keys.values()}
         for digest, record in list(self._keys.items()):
-            gone = record.from_rules and digest not in wanted
-            # A key whose team is gone must not open another team's work when
-            # a team of that name is made again.
-            orphan = record.team not in parsed.teams
-            if not record.revoked and (gone or orphan):
+            removed = record.from_rules and digest not in listed
+            # A key of a removed team must not authenticate as a team that is
+            # created with the same name later.
+            orphaned = record.team not in parsed.teams
+            if not record.revoked and (removed or orphaned):
                 self._keys[digest] = record._replace(
                     revoked=True, changed=next_version
                 )
-        for digest, key in wanted.items():
+        for digest, key in listed.items():
             if digest not in self._keys:
                 self._keys[digest] = KeyRecord(
                     digest, key.label, key.team, next_version, False, True
@@ -332,8 +337,8 @@
         self._rules_version = next_version
         return None
 
-    def _key_faults(self, parsed: rules_lib.Rules) -> list[str]:
-        faults = []
+    def _find_key_errors(self, parsed: rules_lib.Rules) -> list[str]:
+        errors = []
         live = {
             record.label: record
             for record in self._keys.values()
@@ -342,19 +347,20 @@
         for key in parsed.keys.values():
             record = self._keys.get(key.digest)
             if record is not None and record.revoked:
-                faults.append(
+                errors.append(
                     f"key {key.label!r}: this digest was withdrawn as "
                     f"{record.label!r} and cannot come back"
                 )
             elif record is not None and record.team != key.team:
-                faults.append(
-                    f"key {key.label!r}: this digest opens team {record.team!r}"
+                errors.append(
+                    f"key {key.label!r}: this digest belongs to team "
+                    f"{record.team!r}"
                 )
             elif record is None and key.label in live:
-                faults.append(f"key {key.label!r}: the label is in use")
-        return faults
+                errors.append(f"key {key.label!r}: the label is in use")
+        return errors
 
-    def _last_rules_change(self) -> Change | None:
+    def _find_last_rules_change(self) -> Change | None:
         for change in reversed(self._history):
             if change.version == self._rules_version:
                 return change
@@ -362,15 +368,15 @@
 
     def _create_key(self, command: CreateKey) -> Result | None:
         if command.team not in self._rules.teams:
-            what = findings.unknown_word(
+            message = findings.unknown_word(
                 "team", command.team, self._rules.teams
             )
-            return Rejected(findings=[what])
+            return Rejected(findings=[message])
         if command.digest in self._keys:
-            return Rejected(findings=["this digest is known already"])
-        if self._live_key(command.label):
-            what = f"key label {command.label!r} is in use"
-            return Rejected(findings=[what])
+            return Rejected(findings=["this digest is already registered"])
+        if self._find_live_key(command.label):
+            message = f"key label {command.label!r} is in use"
+            return Rejected(findings=[message])
         self._keys[command.digest] = KeyRecord(
             command.digest,
             command.label,
@@ -382,27 +388,28 @@
         return None
 
     def _revoke_key(self, command: RevokeKey) -> Result | None:
-        record = self._live_key(command.label)
+        record = self._find_live_key(command.label)
         if record is None:
             labels = {k.label for k in self._keys.values() if not k.revoked}
-            what = findings.unknown_word("live key", command.label, labels)
-            return Rejected(findings=[what])
+            message = findings.unknown_word("live key", command.label, labels)
+            return Rejected(findings=[message])
         self._keys[record.digest] = record._replace(
             revoked=True, changed=self._version + 1
         )
         return None
 
-    def _live_key(self, label: str) -> KeyRecord | None:
+    def _find_live_key(self, label: str) -> KeyRecord | None:
         for record in self._keys.values():
             if record.label == label and not record.revoked:
                 return record
         return None
 
     def update_since(self, have: int) -> Update:
-        """Returns what a gateway at version `have` lacks.
+        """Returns the changes that a gateway at version `have` lacks.
 
-        A version above the present one can only come from another history;
-        it gets the whole, and the receiver refuses to go back.
+        A version above the current one can only come from another history. It
+        gets the complete configuration, and the receiver rejects the older
+        version.
         """
         base = have if 0 < have <= self._version else 0
         return Update(
@@ -414,7 +421,7 @@
         )
 
     def snapshot(self) -> Snapshot:
-        """Returns the whole state."""
+        """Returns the complete state."""
         return Snapshot(
             version=self._version,
             rules_version=self._rules_version,
@@ -424,7 +431,7 @@
         )
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Replaces the whole state."""
+        """Replaces the complete state."""
         parsed = rules_lib.parse(snapshot.text)
         assert isinstance(parsed, rules_lib.Rules), parsed
         self._version = snapshot.version
@@ -433,57 +440,57 @@
         self._rules = parsed
         self._keys = {key.digest: key for key in snapshot.keys}
         self._history = list(snapshot.history)
-        self._by_change = {c.change_id: c for c in self._history}
+        self._changes_by_id = {c.change_id: c for c in self._history}
 
 
 class View:
-    """A gateway's copy of the configuration; it never goes back."""
+    """A gateway's copy of the configuration; its version never decreases."""
 
     def __init__(self) -> None:
         self._version = 0
         self._keys: dict[str, KeyRecord] = {}
-        empty = rules_lib.parse("")
-        assert isinstance(empty, rules_lib.Rules)
-        self._rules = empty
+        empty_rules = rules_lib.parse("")
+        assert isinstance(empty_rules, rules_lib.Rules)
+        self._rules = empty_rules
 
     @property
     def version(self) -> int:
-        """The version this copy shows; 0 before the first update."""
+        """Version of this copy; 0 before the first update."""
         return self._version
 
     @property
     def rules(self) -> rules_lib.Rules:
-        """The rules in force here."""
+        """The rules of this copy."""
         return self._rules
 
     def update(self, update: Update) -> list[KeyRecord] | None:
-        """Takes an update in.
+        """Applies an update.
 
         Returns:
-            The keys that it withdrew, or None when the update cannot be used:
-            it is not newer, or it builds on a version this copy lacks.
+            The keys that it revoked, or None if the update cannot be applied:
+            it is not newer, or it is based on a version this copy lacks.
         """
         if update.version <= self._version or update.base > self._version:
             return None
         if update.text is not None:
             parsed = rules_lib.parse(update.text)
-            # The state machine accepted this text with the same parser.
+            # The state machine has accepted this text with the same parser.
             assert isinstance(parsed, rules_lib.Rules), parsed
             self._rules = parsed
-        withdrawn = []
+        revoked_keys = []
         for key in update.keys:
-            known = self._keys.get(key.digest)
+            previous = self._keys.get(key.digest)
             self._keys[key.digest] = key
-            if key.revoked and known is not None and not known.revoked:
-                withdrawn.append(key)
+            if key.revoked and previous is not None and not previous.revoked:
+                revoked_keys.append(key)
         self._version = update.version
-        return withdrawn
+        return revoked_keys
 
     def key(self, presented: str) -> KeyRecord | None:
-        """Returns the live key behind a caller's secret, or None.
+        """Returns the live key that matches a caller's secret, or None.
 
-        The look-up is by digest: an attacker who could time it would learn
-        about digests of guesses, not about keys.
+        The lookup is by digest: its timing could reveal only something about
+        the digests of an attacker's guesses, not about keys.
         """
         record = self._keys.get(digest_of(presented))
         if record is None or record.revoked:
@@ -491,12 +498,12 @@
         return record
 
     def is_live(self, digest: str) -> bool:
-        """Tells whether a key seen earlier still opens work."""
+        """Returns whether a key that was found earlier is still live."""
         record = self._keys.get(digest)
         return record is not None and not record.revoked
 
     def as_json(self) -> dict[str, Any]:
-        """Returns what `status` shows of it."""
+        """Returns the summary that `status` shows."""
         return {
             "version": self._version,
             "teams": len(self._rules.teams),
--- a/packages/endivestream/src/endivestream/version/document.py
+++ b/packages/endivestream/src/endivestream/version/document.py
@@ -1,9 +1,9 @@
 """The configuration that operators apply as one document.
 
-A document names routes, services, teams and limits as a whole; a later one
-with a higher version takes its place. Pure: decoding and checking know nothing
-of where a document came from. Times are in seconds, sizes in megabytes unless
-a name says otherwise.
+A document defines all routes, services, teams and limits; a later document
+with a higher version replaces it. Pure: decoding and checking do not depend on
+the origin of a document. Times are in seconds and sizes in megabytes, unless a
+name has another unit.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 
 
 class Kind(enum.StrEnum):
-    """What may be done with a route's requests more than once.
+    """Whether the requests of a route may be repeated.
 
-    `IDEMPOTENT` ones may run again. `ONCE` ones may run at most once for each
-    attempt of the caller. `STREAM` ones answer with numbered events and run
-    at most once, unless their route lets them be resumed.
+    `IDEMPOTENT` requests may run again. `ONCE` requests may run at most once
+    for each attempt of the caller. `STREAM` requests are answered with numbered
+    events and run at most once, unless their route is resumable.
     """
 
     IDEMPOTENT = "idempotent"
@@ -34,7 +34,7 @@
 
     Attributes:
         service: The service's name.
-        weight: Its share among the route's services; at least 0.
+        weight: Relative share of the route's requests; at least 0.
     """
 
     service: str
@@ -42,21 +42,23 @@
 
 
 class Route(msgspec.Struct, frozen=True, kw_only=True):
-    """Where requests of one host name and path prefix go.
+    """Rules for requests with one host name and path prefix.
 
     Attributes:
         name: The route's name.
-        host: The host name in the request.
-        prefix: Begins and ends with a slash.
-        kind: What may be repeated.
-        timeout: Longest time until the whole answer, in seconds.
-        objective: Time within which an answer is worth most, in seconds.
+        host: Host name in the request.
+        prefix: Path prefix; starts and ends with a slash.
+        kind: Whether requests may be repeated.
+        timeout: Maximum time until the complete answer, in seconds.
+        objective: Time within which an answer has its full value, in seconds.
         priority: 0 is the most urgent.
-        choices: Services that answer it; weights add up to more than 0.
-        attempts: Most targets that one attempt of a caller may be sent to.
-        anonymous: Whether no key is needed.
-        resumable: Whether a stream may go on at a later event elsewhere.
-        gap: Longest pause between events that is still in time, in seconds;
+        choices: Services that answer it; the sum of weights is above 0.
+        attempts: Maximum number of targets that one attempt of a caller may be
+            sent to.
+        anonymous: Whether requests need no key.
+        resumable: Whether a stream may continue on another target, at a later
+            event.
+        gap: Maximum pause between events that counts as in time, in seconds;
             0 if none is set.
     """
 
@@ -88,7 +90,7 @@
         load_seconds: Load time from the weight store.
         disk_seconds: Load time from the engine's own disk.
         memory_seconds: Load time from the engine's host memory.
-        adapters: How many adapters it has.
+        adapters: Number of its adapters.
         adapter_mb: Size of one adapter.
     """
 
@@ -102,14 +104,14 @@
 
 
 class Engine(msgspec.Struct, frozen=True, kw_only=True):
-    """What the engines of one service can hold.
+    """Capacity and models of the engines of one service.
 
     Attributes:
-        slots: Requests that run at once.
-        cache_tokens: Tokens that fit into the memory of running requests.
-        weights_mb: Room for weights and adapters.
-        adapter_places: Adapters that fit.
-        loads_per_second: What the weight store allows over all targets.
+        slots: Maximum of concurrent requests.
+        cache_tokens: Capacity of the KV cache, in tokens.
+        weights_mb: Memory for weights and adapters.
+        adapter_places: Maximum number of loaded adapters.
+        loads_per_second: Rate limit of the weight store over all targets.
         models: All models of the service.
     """
 
@@ -127,8 +129,8 @@
     Attributes:
         name: The service's name.
         health_path: Path of the targets' health check.
-        connections: Connections that one target accepts from all hosts.
-        engine: What its engines hold; None for a plain service.
+        connections: Maximum of connections to one target from all hosts.
+        engine: Capacity of its engines; None for a plain service.
     """
 
     name: str
@@ -138,16 +140,17 @@
 
 
 class Team(msgspec.Struct, frozen=True, kw_only=True):
-    """A team with its keys and its rate.
+    """A team with its keys and credit.
 
     Attributes:
         name: The team's name.
-        keys: Keys that its callers may show.
-        priority: Rank of its requests, before the route's; None if unset.
-        rate: Credit a second; 0 for no limit.
-        burst: Most credit that can be saved up.
-        by_tokens: Whether credit is counted in tokens, else in requests.
-        plain_cost: Credit of a request that names no tokens.
+        keys: Keys that its callers may present.
+        priority: Priority of its requests, which overrides that of the route;
+            None if unset.
+        rate: Credit per second; 0 for no limit.
+        burst: Maximum of unspent credit.
+        by_tokens: Whether credit is counted in tokens instead of requests.
+        plain_cost: Cost of a request without a number of tokens.
     """
 
     name: str
@@ -160,13 +163,13 @@
 
 
 class Limits(msgspec.Struct, frozen=True, kw_only=True):
-    """What callers may send.
+    """Limits on the requests and connections of callers.
 
     Attributes:
-        header_bytes: Longest header block.
-        body_bytes: Longest body.
-        header_seconds: Longest time for a header block.
-        idle_seconds: How long a connection may stay idle.
+        header_bytes: Maximum size of a header block.
+        body_bytes: Maximum size of a body.
+        header_seconds: Maximum time to receive a header block.
+        idle_seconds: Maximum idle time of a connection.
     """
 
     header_bytes: int = 64 * 1024
@@ -176,15 +179,16 @@
 
 
 class Document(msgspec.Struct, frozen=True, kw_only=True):
-    """A whole configuration.
+    """A complete configuration.
 
     Attributes:
-        version: Rises with each change; the highest one holds.
+        version: Increases with each change; the highest one is in force.
         routes: All routes.
         services: All services.
         teams: All teams; empty where no keys are used.
-        limits: What callers may send.
-        source: The document as the operator sent it, to be read back.
+        limits: Limits on the requests and connections of callers.
+        source: The document as sent by the operator, so that it can be read
+            back.
     """
 
     version: int
@@ -196,17 +200,17 @@
 
 
 class ApplyDocument(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Sets the configuration, if it is newer than the one that holds."""
+    """Sets the configuration, if it is newer than the one in force."""
 
     document: Document
 
 
 class DocumentApplied(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Answers `ApplyDocument`.
+    """Result of `ApplyDocument`.
 
     Attributes:
-        version: The version that holds now.
-        changed: Whether it is the one that was sent.
+        version: Version in force after the command.
+        changed: Whether the command put its document in force.
     """
 
     version: int
@@ -214,7 +218,7 @@
 
 
 class Holder:
-    """The document in force, as the log has it."""
+    """The document in force, in the replicated state."""
 
     def __init__(self) -> None:
         self.current: Document | None = None
@@ -224,14 +228,15 @@
 
     @property
     def version(self) -> int:
-        """The version in force; 0 before the first."""
+        """Version in force; 0 before the first document."""
         return self.current.version if self.current else 0
 
     def apply(self, command: ApplyDocument) -> DocumentApplied:
-        """Takes a document over if its version is higher.
+        """Puts a document in force if its version is higher.
 
-        An older or equal one is answered in the same way and changes nothing:
-        its sender resends after a lost answer, or was overtaken.
+        A document with a lower or equal version gets the same answer and
+        changes nothing: it was resent after a lost answer, or a newer document
+        was applied first.
         """
         changed = command.document.version > self.version
         if changed:
@@ -240,49 +245,55 @@
 
 
 def check(document: Document) -> list[findings.Finding]:
-    """Returns every fault of a document, each with its place."""
+    """Returns all errors of a document, each with its location."""
     services = {service.name for service in document.services}
-    found = []
-    seen: dict[tuple[str, str], Route] = {}
+    errors = []
+    route_by_location: dict[tuple[str, str], Route] = {}
     for route in document.routes:
         place = findings.Place(f"route {route.name}")
-        found += [
-            findings.Finding(place, what)
-            for what in _check_route(route, services)
+        errors += [
+            findings.Finding(place, message)
+            for message in _check_route(route, services)
         ]
-        other = seen.setdefault((route.host.lower(), route.prefix), route)
+        other = route_by_location.setdefault(
+            (route.host.lower(), route.prefix), route
+        )
         if other is not route:
-            what = f"{route.host}{route.prefix} is also that of {other.name!r}"
-            found.append(findings.Finding(place, what))
-    return found + _check_keys(document.teams)
+            message = (
+                f"{route.host}{route.prefix} is also that of {other.name!r}"
+            )
+            errors.append(findings.Finding(place, message))
+    return errors + _check_keys(document.teams)
 
 
 def _check_route(route: Route, services: set[str]) -> list[str]:
-    found = [
+    errors = [
         findings.unknown_word("service", choice.service, services)
         for choice in route.choices
         if choice.service not in services
     ]
     if sum(choice.weight for choice in route.choices) <= 0:
-        found.append("the weights of its services add up to 0")
+        errors.append("the weights of its services add up to 0")
     if any(choice.weight < 0 for choice in route.choices):
-        found.append("a weight is below 0")
+        errors.append("a weight is below 0")
     if route.timeout <= 0:
-        found.append(f"timeout {route.timeout:g} s; it must be above 0")
+        errors.append(f"timeout {route.timeout:g} s; it must be above 0")
     if not (route.prefix.startswith("/") and route.prefix.endswith("/")):
-        found.append(f"prefix {route.prefix!r} must begin and end with a slash")
-    return found
+        errors.append(
+            f"prefix {route.prefix!r} must begin and end with a slash"
+        )
+    return errors
 
 
 def _check_keys(teams: tuple[Team, ...]) -> list[findings.Finding]:
-    found = []
-    owner: dict[str, str] = {}
+    errors = []
+    team_by_key: dict[str, str] = {}
     for team in teams:
         for key in team.keys:
-            other = owner.setdefault(key, team.name)
+            other = team_by_key.setdefault(key, team.name)
             if other != team.name:
-                # The key itself is a secret and stays out of the text.
-                what = f"shares a key with team {other!r}"
+                # The key is a secret, so the message does not contain it.
+                message = f"shares a key with team {other!r}"
                 place = findings.Place(f"team {team.name}")
-                found.append(findings.Finding(place, what))
-    return found
+                errors.append(findings.Finding(place, message))
+    return errors
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -4,91 +4,97 @@
 import hypothesis
 from hypothesis import strategies as st
 
-TEXT = "team a rate=1 burst=1 # x\nteam b rate=1 burst=1 # x\n"
-D1, D2 = "1" * 64, "2" * 64
+RULES_TEXT = "team a rate=1 burst=1 # x\nteam b rate=1 burst=1 # x\n"
+DIGEST, OTHER_DIGEST = "1" * 64, "2" * 64
 
 
-def _apply(text, expected, change="c1", author="amina"):
+def _apply(text, expected_version, change_id="c1", author="amina"):
     return configuration.ApplyRules(
         text=text,
-        expected_version=expected,
-        change_id=change,
+        expected_version=expected_version,
+        change_id=change_id,
         author=author,
         comment="",
         at=0.0,
     )
 
 
-def _create(label, digest, team="a", change=None):
+def _create(label, digest, team="a", change_id=None):
     return configuration.CreateKey(
         label=label,
         team=team,
         digest=digest,
-        change_id=change or f"create-{label}-{digest[:3]}",
+        change_id=change_id or f"create-{label}-{digest[:3]}",
         author="amina",
         at=0.0,
     )
 
 
-def _revoke(label, change=None):
+def _revoke(label, change_id=None):
     return configuration.RevokeKey(
-        label=label, change_id=change or f"revoke-{label}", author="x", at=0.0
+        label=label,
+        change_id=change_id or f"revoke-{label}",
+        author="x",
+        at=0.0,
     )
 
 
 class ConfigurationTest(unittest.TestCase):
     def setUp(self):
         self.state = configuration.Configuration()
-        self.state.apply(_apply(TEXT, 0))
+        self.state.apply(_apply(RULES_TEXT, 0))
 
-    def test_racing_operators_with_equal_numbers(self):
-        """One wins; the other is told the version and who won.
+    def test_concurrent_changes_of_one_version_conflict(self):
+        """Guards against an operator's change that overwrites another one.
 
-        Both edited version 1 and send their text under that number.
+        Both edit version 1 and send their text with that number. The second
+        gets a conflict with the current version and the author of the first.
         """
-        first = self.state.apply(_apply(TEXT + "\n", 1, "c2", "yusuf"))
-        second = self.state.apply(_apply(TEXT + "\n\n", 1, "c3"))
+        first = self.state.apply(_apply(RULES_TEXT + "\n", 1, "c2", "yusuf"))
+        second = self.state.apply(_apply(RULES_TEXT + "\n\n", 1, "c3"))
         self.assertEqual(first, configuration.Applied(version=2))
         self.assertEqual(second.version, 2)
         self.assertEqual(second.author, "yusuf")
         self.assertEqual(second.change_id, "c2")
 
-    def test_resend_after_a_lost_answer_gets_the_first_answer(self):
-        again = self.state.apply(_apply(TEXT, 0))
-        self.assertEqual(again, configuration.Applied(version=1, repeated=True))
+    def test_change_resent_after_a_lost_answer_gets_the_first_answer(self):
+        repeated = self.state.apply(_apply(RULES_TEXT, 0))
+        self.assertEqual(
+            repeated, configuration.Applied(version=1, repeated=True)
+        )
         self.assertEqual(self.state.version, 1)
 
     def test_change_id_with_other_content_is_rejected(self):
-        answer = self.state.apply(_apply(TEXT + "\n", 1))
+        answer = self.state.apply(_apply(RULES_TEXT + "\n", 1))
         self.assertIn("used for other content", answer.findings[0])
 
-    def test_withdrawn_key_never_comes_back(self):
-        """A re-applied older text cannot give a withdrawn key its work back.
+    def test_revoked_key_cannot_be_restored(self):
+        """Guards against an older text that restores a revoked key.
 
-        The text names the key's digest; the key is withdrawn by command, and
+        The text contains the key's digest. The key is revoked by command, and
         the same text is applied again.
         """
-        text = TEXT + f"key k team=a sha256={D1} # x\n"
+        text = RULES_TEXT + f"key k team=a sha256={DIGEST} # x\n"
         self.state.apply(_apply(text, 1, "c2"))
         self.state.apply(_revoke("k"))
         answer = self.state.apply(_apply(text + "\n", 2, "c3"))
         self.assertIn("cannot come back", answer.findings[0])
-        answer = self.state.apply(_create("k2", D1))
-        self.assertIn("known already", answer.findings[0])
+        answer = self.state.apply(_create("k2", DIGEST))
+        self.assertIn("already registered", answer.findings[0])
 
-    def test_key_goes_with_its_team(self):
-        self.state.apply(_create("k", D1, team="b"))
+    def test_key_is_revoked_with_its_team(self):
+        self.state.apply(_create("k", DIGEST, team="b"))
         self.state.apply(_apply("team a rate=1 burst=1 # x\n", 1, "c2"))
         (key,) = self.state.keys
         self.assertTrue(key.revoked)
 
-    def test_snapshot_restores_all(self):
-        self.state.apply(_create("k", D1))
+    def test_snapshot_restores_the_complete_state(self):
+        self.state.apply(_create("k", DIGEST))
         other = configuration.Configuration()
         other.restore(self.state.snapshot())
         self.assertEqual(other.snapshot(), self.state.snapshot())
-        again = other.apply(_apply(TEXT, 0))
-        self.assertTrue(again.repeated)
+        repeated = other.apply(_apply(RULES_TEXT, 0))
+        self.assertTrue(repeated.repeated)
 
     @hypothesis.given(
         st.lists(
@@ -102,33 +108,36 @@
         st.randoms(use_true_random=False),
     )
     def test_view_catches_up_from_any_version_and_never_reverts(
-        self, steps, taken, rng
+        self, steps, update_count, rng
     ):
-        """A gateway that misses changes ends where the state is.
+        """Guards against a gateway that stays behind after missed changes.
 
-        Updates are built for older versions, come doubled and out of order.
+        Updates are based on older versions, repeat changes and arrive out of
+        order.
         """
         state = configuration.Configuration()
         view = configuration.View()
         updates = []
-        for number, (kind, which) in enumerate(steps):
+        for number, (kind, key_number) in enumerate(steps):
             match kind:
                 case "rules":
-                    text = TEXT + "\n" * number
+                    text = RULES_TEXT + "\n" * number
                     command = _apply(text, state.rules_version, f"r{number}")
                 case "create":
                     digest = f"{number:064x}"
-                    command = _create(f"k{which}", digest, change=f"k{number}")
+                    command = _create(
+                        f"k{key_number}", digest, change_id=f"k{number}"
+                    )
                 case _:
-                    command = _revoke(f"k{which}", change=f"v{number}")
+                    command = _revoke(f"k{key_number}", change_id=f"v{number}")
             state.apply(command)
             updates.append(state.update_since(rng.randint(0, state.version)))
         rng.shuffle(updates)
-        seen = 0
-        for update in updates[:taken]:
+        last_version = 0
+        for update in updates[:update_count]:
             view.update(update)
-            self.assertGreaterEqual(view.version, seen)
-            seen = view.version
+            self.assertGreaterEqual(view.version, last_version)
+            last_version = view.version
         view.update(state.update_since(view.version))
         self.assertEqual(view.version, state.version)
         for key in state.keys:
--- a/tests/test_document.py
+++ b/tests/test_document.py
@@ -6,7 +6,7 @@
 
 
 def route(name="r", **fields):
-    given = {
+    values = {
         "host": "a.example",
         "prefix": "/x/",
         "kind": document_lib.Kind.ONCE,
@@ -15,7 +15,7 @@
         "priority": 1,
         "choices": (document_lib.Choice("desk", 1),),
     }
-    return document_lib.Route(name=name, **(given | fields))
+    return document_lib.Route(name=name, **(values | fields))
 
 
 def document(version=1, routes=None, services=("desk",), teams=()):
@@ -32,56 +32,65 @@
 
 
 class CheckTest(unittest.TestCase):
-    def _finds(self, given, word):
-        found = [str(finding) for finding in document_lib.check(given)]
-        self.assertTrue(any(word in each for each in found), found)
+    def _assert_finding(self, checked, expected):
+        messages = [str(finding) for finding in document_lib.check(checked)]
+        self.assertTrue(
+            any(expected in message for message in messages), messages
+        )
 
-    def test_a_sound_document_has_no_findings(self):
+    def test_a_valid_document_has_no_findings(self):
         self.assertEqual(document_lib.check(document()), [])
 
     def test_unknown_service_names_the_valid_ones(self):
         choices = (document_lib.Choice("dask", 1),)
-        self._finds(document(routes=[route(choices=choices)]), "'desk'")
+        self._assert_finding(
+            document(routes=[route(choices=choices)]), "'desk'"
+        )
 
-    def test_two_routes_at_one_place(self):
-        self._finds(document(routes=[route("a"), route("b")]), "'a'")
+    def test_two_routes_with_equal_host_and_prefix(self):
+        self._assert_finding(document(routes=[route("a"), route("b")]), "'a'")
 
-    def test_one_route_twice(self):
-        self._finds(document(routes=[route(), route()]), "also that of")
+    def test_duplicate_route(self):
+        self._assert_finding(
+            document(routes=[route(), route()]), "also that of"
+        )
 
-    def test_weights_that_add_up_to_nothing(self):
+    def test_weights_must_add_up_to_more_than_zero(self):
         choices = (document_lib.Choice("desk", 0),)
-        self._finds(document(routes=[route(choices=choices)]), "add up to 0")
+        self._assert_finding(
+            document(routes=[route(choices=choices)]), "add up to 0"
+        )
 
-    def test_no_timeout(self):
-        self._finds(document(routes=[route(timeout=0.0)]), "above 0")
+    def test_timeout_must_be_positive(self):
+        self._assert_finding(document(routes=[route(timeout=0.0)]), "above 0")
 
-    def test_prefix_without_its_slash(self):
-        self._finds(document(routes=[route(prefix="/x")]), "slash")
+    def test_prefix_must_end_with_a_slash(self):
+        self._assert_finding(document(routes=[route(prefix="/x")]), "slash")
 
-    def test_shared_key_is_found_and_not_shown(self):
+    def test_shared_key_is_reported_without_the_key(self):
         teams = [
             document_lib.Team(name="band", keys=("secret-1",)),
             document_lib.Team(name="shop", keys=("secret-1",)),
         ]
-        given = document(teams=teams)
-        self._finds(given, "shares a key with team 'band'")
-        self.assertNotIn("secret-1", str(document_lib.check(given)))
+        checked = document(teams=teams)
+        self._assert_finding(checked, "shares a key with team 'band'")
+        self.assertNotIn("secret-1", str(document_lib.check(checked)))
 
-    def test_all_faults_are_reported_together(self):
-        bad = route(timeout=0.0, choices=(document_lib.Choice("none", 0),))
-        self.assertEqual(len(document_lib.check(document(routes=[bad]))), 3)
+    def test_all_errors_are_reported_together(self):
+        invalid = route(timeout=0.0, choices=(document_lib.Choice("none", 0),))
+        self.assertEqual(len(document_lib.check(document(routes=[invalid]))), 3)
 
 
 class HolderTest(unittest.TestCase):
     @hypothesis.given(
         st.lists(st.integers(1, 30), min_size=1, max_size=20),
     )
-    def test_the_highest_version_holds_in_any_order(self, versions):
-        """Changes arrive late, twice and overtaken by others.
+    def test_the_highest_version_is_in_force_in_any_order(self, versions):
+        """Guards against an older document that replaces a newer one.
 
-        Whatever the order, what holds is the first content of the highest
-        version, and it never goes back.
+        Documents arrive late, repeatedly and out of order. In any order, the
+        first document with the highest version is in force, and the version
+        never decreases.
         """
         holder = document_lib.Holder()
         highest = 0
