--- a/packages/endivestream/src/endivestream/version/__init__.py
+++ b/packages/endivestream/src/endivestream/version/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as one version of the replicated state."""
+"""The replicated state, its consensus log, and placement planning."""
--- a/packages/endivestream/src/endivestream/version/departures.py
+++ b/packages/endivestream/src/endivestream/version/departures.py
@@ -1,29 +1,29 @@
-"""Which targets have left for good, as the log knows it.
-
-A target that says good-bye must get nothing more, whoever leads. The table of
-targets is the leader's memory, so a new leader would take a report that was
-held up on its way for that of a sound target (symptom: requests reach a target
-seconds after its good-bye was acknowledged, or another service at its
-address). What is committed here is known to every later leader before it
-answers anything.
+"""Replicated record of the targets that have deregistered.
+
+A target that has deregistered must get no more requests, whichever host is the
+leader. The table of targets is only in the leader's memory, so a new leader
+would take a delayed report of such a target for one of a live target (symptom:
+requests reach a target seconds after its deregistration was acknowledged, or
+another service at its address). Every later leader has applied the departures
+committed here before it answers any request.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-# Departures that are remembered, the oldest forgotten first. A report is late
-# by seconds; at the target size 74 targets leave in a day.
-_MOST = 512
+# Departures that are kept; the oldest are dropped first. Reports are delayed by
+# seconds at most; in a system of the intended size 74 targets depart in a day.
+_MAX_DEPARTURES = 512
 
 
 class Depart(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """A target leaves.
+    """Records that a target has deregistered.
 
     Attributes:
         name: The target's id.
-        born: When the process that leaves was started, in milliseconds of the
-            time of day; None if the leader had not heard of it yet.
+        born: Start time of the process that deregistered, in milliseconds
+            of wall-clock time; None if the leader had no report of it yet.
     """
 
     name: str
@@ -31,32 +31,32 @@
 
 
 class Departed(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Answers `Depart`: every later leader knows of it."""
+    """Result of `Depart`: the departure is committed."""
 
 
 class Departures:
-    """Targets that have left, by name, with the start that left."""
+    """Start times of the target processes that deregistered, by target."""
 
     def __init__(self) -> None:
-        self._born: dict[str, int | None] = {}
+        self._start_times_ms: dict[str, int | None] = {}
 
     def __repr__(self) -> str:
-        return f"<Departures of {len(self._born)} targets>"
+        return f"<Departures of {len(self._start_times_ms)} targets>"
 
     @property
     def born(self) -> dict[str, int | None]:
-        """The start that left, by name of the target."""
-        return dict(self._born)
+        """Start time of the process that deregistered, by target name."""
+        return dict(self._start_times_ms)
 
     def apply(self, command: Depart) -> Departed:
-        """Applies a command in log order; the same on every replica."""
-        known = self._born.pop(command.name, None)
-        starts = [s for s in (known, command.born) if s is not None]
-        self._born[command.name] = max(starts) if starts else None
-        while len(self._born) > _MOST:
-            del self._born[next(iter(self._born))]
+        """Applies a command in log order; deterministic on every replica."""
+        previous = self._start_times_ms.pop(command.name, None)
+        starts = [s for s in (previous, command.born) if s is not None]
+        self._start_times_ms[command.name] = max(starts) if starts else None
+        while len(self._start_times_ms) > _MAX_DEPARTURES:
+            del self._start_times_ms[next(iter(self._start_times_ms))]
         return Departed()
 
     def restore(self, born: dict[str, int | None]) -> None:
-        """Replaces all of it with what `born` gave."""
-        self._born = dict(born)
+        """Replaces all departures with an earlier value of `born`."""
+        self._start_times_ms = dict(born)
--- a/packages/endivestream/src/endivestream/version/seat.py
+++ b/packages/endivestream/src/endivestream/version/seat.py
@@ -1,11 +1,11 @@
-"""Which host places models, as the log knows it.
-
-Engines must see one holder at a time, and a new one only after a pause in
-which nobody orders. While the leader placed models itself, each new leader
-began with that pause, and models that callers waited for stayed away for
-several seconds (symptom: a lost leader costs as many refusals as a lost rack).
-The holder is therefore recorded apart from leadership: whoever leads, it
-stays.
+"""Replicated record of the planner lease: which host places models.
+
+Engines must take orders from one lease holder at a time, and from a new one
+only after a pause in which no host sends orders. When the leader itself placed
+models, each new leader began with that pause, and requested models stayed
+unloaded for several seconds (symptom: losing the leader causes as many refused
+requests as losing a rack). The lease is therefore recorded apart from
+leadership: a change of leader does not change its holder.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 
 class Appoint(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Gives the seat to a host, if it is still as the proposer knows it.
+    """Grants the planner lease, if its record is unchanged since `after`.
 
     Attributes:
-        holder: The host.
-        after: The fence of the holder before; 0 if there was none.
-        term: The proposer's term.
-        settled: Whether nobody can have ordered lately, so that it may order
-            at once.
+        holder: The host that gets the lease.
+        after: Fencing token of the previous holder; 0 if there was none.
+        term: Term of the proposer.
+        settled: Whether no host can have sent orders recently, so that the
+            holder may send orders immediately.
     """
 
     holder: str
@@ -31,28 +31,28 @@
 
 
 class Settle(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Notes that the pause before a holder's first order has passed.
+    """Records that the pause before a holder's first order has passed.
 
-    Until this is in the log each new leader begins the pause anew: it cannot
-    know when its predecessor appointed the holder.
+    Until this is in the log, each new leader starts the pause again: it has no
+    record of when its predecessor granted the lease.
     """
 
     fence: int
 
 
 class Appointed(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Answers `Appoint` and `Settle`: who holds the seat now."""
+    """Result of `Appoint` and `Settle`: the current lease holder."""
 
     holder: str
     fence: int
 
 
 class Record(msgspec.Struct, frozen=True, kw_only=True):
-    """Who holds the seat.
+    """The current planner lease.
 
     Attributes:
-        holder: The host; empty before the first.
-        fence: The fencing token of its orders; rises with each holder.
+        holder: The host that holds the lease; empty if none was granted yet.
+        fence: Fencing token of the holder's orders; increases with each holder.
         settled: Whether the pause before its first order has passed.
     """
 
@@ -62,7 +62,7 @@
 
 
 class Seat:
-    """The seat in the replicated state."""
+    """The planner lease in the replicated state."""
 
     def __init__(self) -> None:
         self.record = Record()
@@ -71,11 +71,11 @@
         return f"<Seat of {self.record.holder!r}, fence {self.record.fence}>"
 
     def apply(self, command: Appoint | Settle) -> Appointed:
-        """Applies a command in log order; the same on every replica."""
+        """Applies a command in log order; deterministic on every replica."""
         match command:
             case Appoint(after=after) if after == self.record.fence:
-                # Never below the term: orders used to bear that as their
-                # token.
+                # Never below the term: earlier releases used the term as the
+                # fencing token of orders.
                 self.record = Record(
                     holder=command.holder,
                     fence=max(after + 1, command.term),
--- a/packages/endivestream/src/endivestream/version/watchers.py
+++ b/packages/endivestream/src/endivestream/version/watchers.py
@@ -1,9 +1,9 @@
-"""Who holds a configuration lease, and what they have in force. Pure.
+"""Configuration leases of hosts, and the version each host has applied. Pure.
 
-A change is in force everywhere once every host whose lease may still run has
-acknowledged it. A host that is cut off acknowledges nothing, but its lease
-runs out, after which it refuses new work; so waiting for one lease is always
-enough.
+A change is in force everywhere once every host whose lease may still be valid
+has acknowledged it. A host that is cut off acknowledges nothing, but its lease
+expires, after which it refuses new work; so it is always enough to wait for
+the duration of one lease.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 from endivestream import messages
 
 
-class Watcher(NamedTuple):
-    """A host as its last watch showed it.
+class HostLease(NamedTuple):
+    """A host and its lease as of its last renewal.
 
     Attributes:
-        host: Who it is.
+        host: The host.
         peer: The connection to push changes to.
-        have: The version it has in force.
-        heard: When it was heard of, in seconds of a steady clock.
-        lease_until: When its lease has surely run out.
+        have: The configuration version that it has in force.
+        heard: When it last renewed its lease, in seconds of a monotonic clock.
+        lease_until: When its lease has certainly expired.
     """
 
     host: messages.HostInfo
@@ -32,110 +32,119 @@
 
 
 class Watchers:
-    """All hosts known to this process. Times are seconds."""
+    """Leases of all hosts known to this process. Times are in seconds."""
 
     def __init__(
         self, *, lease_seconds: float, silence_seconds: float, now: float
     ) -> None:
-        self._lease = lease_seconds
-        self._silence = silence_seconds
-        # An earlier leader, or this process before a restart, may have given
-        # leases that nobody here remembers; they run out by then.
-        self._forgotten_until = now + lease_seconds
+        self._lease_seconds = lease_seconds
+        self._silence_seconds = silence_seconds
+        # An earlier leader, or this process before a restart, may have granted
+        # leases that are not recorded here; they have expired by this time.
+        self._unknown_leases_until = now + lease_seconds
         self._complete_from = now + silence_seconds
-        self._watchers: dict[str, Watcher] = {}
-        self._live: list[messages.HostInfo] = []
-        # Versions of this process are above those of any earlier one.
+        self._leases: dict[str, HostLease] = {}
+        self._live_hosts: list[messages.HostInfo] = []
+        # Starts from the clock, so that versions of this process are above
+        # those of any earlier one.
         self._hosts_version = int(now * 1000)
 
     @property
     def hosts_version(self) -> int:
-        """Rises whenever the list of live hosts changes."""
+        """Increases whenever the list of live hosts changes."""
         return self._hosts_version
 
     def __repr__(self) -> str:
-        return f"<Watchers of {len(self._watchers)} hosts>"
+        return f"<Watchers of {len(self._leases)} hosts>"
 
     def renew(
         self, host: messages.HostInfo, peer: bytes, have: int, now: float
     ) -> bool:
-        """Notes a watch; False if it comes from an older incarnation.
+        """Renews a lease; False if the request is of an older incarnation.
 
-        The lease counts from here, later than at its holder, who counts from
-        the moment of sending: this side is never the first to call it over.
+        The lease is counted from the time of receipt. Its holder counts from
+        the earlier time of sending, so this side never considers the lease
+        expired before the holder does.
         """
-        known = self._watchers.get(host.name)
-        if known is not None and known.host.incarnation > host.incarnation:
+        current = self._leases.get(host.name)
+        if current is not None and current.host.incarnation > host.incarnation:
             return False
-        self._watchers[host.name] = Watcher(
-            host, peer, have, now, now + self._lease
+        self._leases[host.name] = HostLease(
+            host, peer, have, now, now + self._lease_seconds
         )
         return True
 
     def find(self, name: str) -> messages.HostInfo | None:
-        """Returns a host as its last watch showed it, or None."""
-        watcher = self._watchers.get(name)
-        return watcher.host if watcher else None
+        """Returns a host as of its last lease renewal, or None."""
+        lease = self._leases.get(name)
+        return lease.host if lease else None
 
     @property
     def live(self) -> list[messages.HostInfo]:
-        """Hosts heard of lately, by name, as of the last `refresh`."""
-        return self._live
+        """Hosts that recently renewed, by name, as of the last `refresh`."""
+        return self._live_hosts
 
     def is_complete(self, now: float) -> bool:
-        """Tells whether all live hosts have had time to be heard.
+        """Returns whether all live hosts have had time to renew their leases.
 
-        A new leader has heard of few hosts. Given out, its short table would
-        send all callers and targets to those few, and leave them with no
-        address at all when these go next.
+        A new leader has received renewals of few hosts only. If it published
+        that short list, all callers and targets would be sent to those few
+        hosts, and would have no address left when these hosts fail next.
         """
         return now >= self._complete_from
 
     def refresh(self, now: float) -> None:
-        """Renews the list of live hosts, and its version if it changed.
+        """Updates the list of live hosts, and its version if it changed.
 
         Not done for each renewal: at 390 hosts that took a fifth of a core.
         """
         live = sorted(
-            watcher.host
-            for watcher in self._watchers.values()
-            if now - watcher.heard <= self._silence
+            lease.host
+            for lease in self._leases.values()
+            if now - lease.heard <= self._silence_seconds
         )
-        if live != self._live:
-            self._live = live
+        if live != self._live_hosts:
+            self._live_hosts = live
             self._hosts_version += 1
 
     def is_gone(self, name: str, now: float) -> bool:
-        """Tells whether a host was not heard of for two leases or more."""
-        unheard = name not in self._watchers
-        return unheard and now >= self._forgotten_until + self._lease
+        """Returns whether a host has not renewed for two leases or more."""
+        unknown = name not in self._leases
+        return (
+            unknown and now >= self._unknown_leases_until + self._lease_seconds
+        )
 
     def peers(self, now: float) -> list[bytes]:
-        """Returns connections of hosts heard of lately."""
+        """Returns the connections of hosts that recently renewed."""
         return [
-            watcher.peer
-            for watcher in self._watchers.values()
-            if now - watcher.heard <= self._silence
+            lease.peer
+            for lease in self._leases.values()
+            if now - lease.heard <= self._silence_seconds
         ]
 
     def lagging(self, version: int, now: float) -> list[str]:
-        """Names hosts that may still act on less than `version`."""
-        late = [
+        """Returns names of hosts that may still use an older version.
+
+        Args:
+            version: The configuration version to compare with.
+            now: The present time.
+        """
+        lagging_hosts = [
             name
-            for name, watcher in self._watchers.items()
-            if watcher.have < version and watcher.lease_until > now
+            for name, lease in self._leases.items()
+            if lease.have < version and lease.lease_until > now
         ]
-        if now < self._forgotten_until:
-            late.append("(leases given before the last restart)")
-        return sorted(late)
+        if now < self._unknown_leases_until:
+            lagging_hosts.append("(leases given before the last restart)")
+        return sorted(lagging_hosts)
 
     def forget(self, now: float) -> list[messages.HostInfo]:
-        """Drops hosts whose lease ran out long ago; returns them."""
-        gone = [
-            watcher.host
-            for watcher in self._watchers.values()
-            if now > watcher.lease_until + self._lease
+        """Removes and returns hosts whose lease expired over one lease ago."""
+        expired = [
+            lease.host
+            for lease in self._leases.values()
+            if now > lease.lease_until + self._lease_seconds
         ]
-        for host in gone:
-            del self._watchers[host.name]
-        return gone
+        for host in expired:
+            del self._leases[host.name]
+        return expired
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -11,26 +11,26 @@
     def _depart(self, name, born):
         self.departures.apply(departures_lib.Depart(name=name, born=born))
 
-    def test_the_newest_start_that_left_holds(self):
-        """A good-bye that is told twice hides nothing.
+    def test_the_latest_start_time_is_kept(self):
+        """Guards against a repeated departure that erases the start time.
 
-        It comes by way of a leader that knows the start, then of one that
-        does not, then late for an older start of the same name.
+        It is committed by a leader with a report of the start time, then by
+        one without, and finally, delayed, for an older start of the target.
         """
         self._depart("t1", 7)
         self._depart("t1", None)
         self._depart("t1", 3)
         self.assertEqual(self.departures.born, {"t1": 7})
 
-    def test_only_the_latest_are_kept(self):
+    def test_only_the_latest_departures_are_kept(self):
         for number in range(600):
             self._depart(f"t{number}", number)
         self.assertEqual(len(self.departures.born), 512)
         self.assertNotIn("t0", self.departures.born)
         self.assertEqual(self.departures.born["t599"], 599)
 
-    def test_they_are_part_of_a_snapshot(self):
-        """A replica that starts from a snapshot knows who has left."""
+    def test_departures_are_part_of_a_snapshot(self):
+        """Guards against a replica without departures after a snapshot."""
         state = state_lib.State()
         state.apply(1, departures_lib.Depart(name="t1", born=None))
         other = state_lib.State()
