--- a/packages/endivestream/src/endivestream/request/forward.py
+++ b/packages/endivestream/src/endivestream/request/forward.py
@@ -1,12 +1,14 @@
-"""The path of one caller's request on an entry host.
+"""Path of one caller's request through an entry host.
 
-    admission   lease, route, key: refused here means "not run"
-    credit      the team's, from this host's portions
-    choice      a target that can take it, waiting for one if that pays
-    sending     one attempt with one target, its answer passed back
-    again       elsewhere, where nothing has run or it may run twice
+    admission   checks lease, route and key; a refusal here means "not run"
+    credit      charges the team, from this host's credit shares
+    choice      picks a target, waiting for one if it can still be in time
+    sending     makes one attempt at one target and relays its answer
+    repeat      uses another target if nothing ran or running twice is allowed
 
-Nothing here asks a control host, except for credit that this host lacks.
+Control hosts are queried only for what this host lacks: credit, a repeat from
+the shared budget, a send to a rate-limited target, or proof that its
+configuration is current.
 """
 
 from __future__ import annotations
@@ -28,28 +30,29 @@
 from endivestream.request import sending
 from endivestream.version import document as document_lib
 
-# It holds out for a place on an engine that is not full for this multiple;
-# after that it takes its turn in a full engine's own queue.
-_PLACE_OBJECTIVES = 0.3
-# One that gets its credit within this multiple can still be in time.
-_SOON_OBJECTIVES = 0.5
-# How often a request that no target wants is offered again, at most.
-_REFUSALS = 6
-# Pause after a refusal by a target, before another is asked.
-_REFUSED_SECONDS = 0.02
-# A request that was broken off late still gets so long to find a place.
-_LEAST_WAIT = 0.1
+# Multiple of the route's objective for which a request waits for an engine
+# with a free slot; after that it joins the queue of a full engine.
+_FREE_SLOT_OBJECTIVES = 0.3
+# A request that gets its credit within this multiple of the route's objective
+# can still be in time.
+_TIMELY_CREDIT_OBJECTIVES = 0.5
+# Refusals by targets after which a request fails.
+_MAX_REFUSALS = 6
+# Pause after a refusal by a target, multiplied by the number of refusals.
+_REFUSAL_PAUSE_SECONDS = 0.02
+# Minimum wait for a target, also for a request whose attempt failed late.
+_MIN_TARGET_WAIT_SECONDS = 0.1
 
 
 @dataclasses.dataclass(kw_only=True)
-class _Active:
-    """A request under way.
+class _ActiveRequest:
+    """A request in progress.
 
     Attributes:
-        call: The caller's side of it.
-        progress: What has happened to it.
-        work: The admitted request; None until it is.
-        is_stopped: Whether it is ended because the host stops.
+        call: The connection to the caller.
+        progress: State of the request's attempts.
+        work: The admitted request; None before admission.
+        is_stopped: Whether it was cancelled because the host stops.
     """
 
     call: call_lib.Call
@@ -58,12 +61,12 @@
     is_stopped: bool = False
 
 
-class _Over(NamedTuple):
-    """The caller has had all that it will get."""
+class _AnswerFinal(NamedTuple):
+    """The answer to the caller is final; nothing more is sent."""
 
 
 class Forwarder:
-    """Serves callers' requests. Lives as long as the process."""
+    """Serves callers' requests, for the lifetime of the process."""
 
     def __init__(self, *, parts: forward_parts.Parts) -> None:
         self._parts = parts
@@ -75,15 +78,15 @@
             freed=parts.freed,
             heard_limit=parts.heard_limit,
         )
-        self._active: dict[asyncio.Task[None], _Active] = {}
+        self._active: dict[asyncio.Task[None], _ActiveRequest] = {}
         self._lease_queue = lease_queue.LeaseQueue(
             rules=parts.rules, changed=parts.changed, confirm=parts.confirm
         )
 
     async def serve(self, call: call_lib.Call) -> None:
-        """Serves one request to its end."""
+        """Serves one request until it is answered or its caller disconnects."""
         progress = sending.Progress()
-        active = _Active(call=call, progress=progress)
+        active = _ActiveRequest(call=call, progress=progress)
         task = asyncio.current_task()
         assert task is not None
         self._active[task] = active
@@ -99,9 +102,9 @@
             await self._answer_stopped(active)
         finally:
             del self._active[task]
-            self._log(call, active.work, progress)
+            self._log_completion(call, active.work, progress)
 
-    async def _serve(self, active: _Active) -> None:
+    async def _serve(self, active: _ActiveRequest) -> None:
         call, progress = active.call, active.progress
         failure: findings.Failure | None
         admitted = await self._lease_queue.admit(call)
@@ -110,13 +113,13 @@
         else:
             active.work = admitted
             self._parts.asked(admitted)
-            failure = await self._run(call, admitted, progress)
+            failure = await self._serve_admitted(call, admitted, progress)
         if failure is not None:
             progress.reason = failure.reason
-            await self._fail(call, progress, failure)
+            await self._answer_failure(call, progress, failure)
 
     def stop_waiting(self) -> None:
-        """Refuses requests that wait and that a stopping host cannot finish."""
+        """Refuses waiting requests that a stopping host cannot finish."""
         for task, active in list(self._active.items()):
             kind = document_lib.Kind.STREAM
             if active.work is not None:
@@ -124,16 +127,18 @@
             if not active.progress.is_sent and not self._parts.rules.takes(
                 kind
             ):
-                self._stop(task, active)
+                self._stop_request(task, active)
 
     def stop_all(self) -> None:
-        """Gives all requests that have had no answer their final one."""
+        """Answers all requests that have not been answered yet."""
         for task, active in list(self._active.items()):
-            self._stop(task, active)
+            self._stop_request(task, active)
 
-    def _stop(self, task: asyncio.Task[None], active: _Active) -> None:
+    def _stop_request(
+        self, task: asyncio.Task[None], active: _ActiveRequest
+    ) -> None:
         if active.is_stopped or active.call.begun:
-            # An answer on its way out goes on while the process runs.
+            # A partly sent answer continues while the process runs.
             return
         active.is_stopped = True
         logs.event(
@@ -145,29 +150,29 @@
         )
         task.cancel()
 
-    async def _answer_stopped(self, active: _Active) -> None:
+    async def _answer_stopped(self, active: _ActiveRequest) -> None:
         call, progress, work = active.call, active.progress, active.work
         failure = admission.stopping()
         if work is not None:
-            failure = self._stopped(work, progress)
+            failure = self._stop_failure(work, progress)
         progress.reason = "stopping"
         try:
-            await self._fail(call, progress, failure)
+            await self._answer_failure(call, progress, failure)
         except call_lib.GoneError:
             progress.reason = "caller_gone"
 
-    def _log(
+    def _log_completion(
         self,
         call: call_lib.Call,
         work: admission.Work | None,
         progress: sending.Progress,
     ) -> None:
         now = clock.now()
-        known = work is not None
-        ended = forward_parts.Ended(
-            route=work.route.name if known else "",
-            kind=work.route.kind if known else "",
-            team=work.team.name if known and work.team else "",
+        is_admitted = work is not None
+        summary = forward_parts.Ended(
+            route=work.route.name if is_admitted else "",
+            kind=work.route.kind if is_admitted else "",
+            team=work.team.name if is_admitted and work.team else "",
             status=progress.status,
             reason=progress.reason,
             waited=(progress.waited or now) - call.came,
@@ -176,46 +181,46 @@
             gap=progress.gap,
             tries=progress.sends,
         )
-        self._parts.observe(ended)
+        self._parts.observe(summary)
         table = self._parts.rules.table()
         logs.event(
             "request",
             request=call.headers.get(self._parts.rules.names.request, ""),
-            route=ended.route,
-            team=ended.team,
-            cost=work.cost if known else 0.0,
-            model=work.model if known else "",
-            adapter=work.adapter if known else "",
+            route=summary.route,
+            team=summary.team,
+            cost=work.cost if is_admitted else 0.0,
+            model=work.model if is_admitted else "",
+            adapter=work.adapter if is_admitted else "",
             target=progress.target,
-            status=ended.status,
-            reason=ended.reason,
-            tries=ended.tries,
+            status=summary.status,
+            reason=summary.reason,
+            tries=summary.tries,
             refusals=progress.refusals,
-            waited_ms=ended.waited * 1e3,
-            first_ms=ended.first * 1e3,
+            waited_ms=summary.waited * 1e3,
+            first_ms=summary.first * 1e3,
             gap_ms=progress.gap * 1e3,
             turn_ms=progress.turn * 1e3,
-            total_ms=ended.total * 1e3,
+            total_ms=summary.total * 1e3,
             version=table.document.version if table else 0,
             lease_s=self._parts.rules.lease_until() - now,
         )
 
-    # The request's way through.
+    # Stages of a request.
 
-    async def _run(
+    async def _serve_admitted(
         self,
         call: call_lib.Call,
         work: admission.Work,
         progress: sending.Progress,
     ) -> findings.Failure | None:
-        """Returns None once a whole answer has been passed on."""
+        """Returns None once a complete answer has been relayed."""
         progress.stage = "credit"
-        refused = await self._charge(work)
-        if refused is not None:
-            return refused
+        refusal = await self._charge(work)
+        if refusal is not None:
+            return refusal
         self._parts.repeats(work.service.name).came(clock.now())
         try:
-            return await self._attempts(call, work, progress)
+            return await self._attempt_until_final(call, work, progress)
         finally:
             if not progress.may_have_run and work.team is not None:
                 self._parts.credit.refund(work.team, work.cost)
@@ -224,24 +229,27 @@
         if work.team is None or work.team.rate <= 0:
             return None
         now = clock.now()
-        until = patience_lib.until_place(
+        wait_deadline = patience_lib.until_place(
             route=work.route, came=work.came, heard=0.0, deadline=work.deadline
         )
-        soon = min(work.deadline - now, work.route.objective * _SOON_OBJECTIVES)
-        short = await self._parts.credit.take(
+        timely_wait = min(
+            work.deadline - now,
+            work.route.objective * _TIMELY_CREDIT_OBJECTIVES,
+        )
+        retry_after = await self._parts.credit.take(
             work.team,
             work.cost,
-            soon=max(0.0, soon),
-            patience=max(0.0, until - now),
+            soon=max(0.0, timely_wait),
+            patience=max(0.0, wait_deadline - now),
         )
-        if short is None:
+        if retry_after is None:
             return None
-        what = f"team {work.team.name} is over its rate"
+        detail = f"team {work.team.name} is over its rate"
         return findings.not_run(
-            "over_rate", what, status=429, retry_after=short
+            "over_rate", detail, status=429, retry_after=retry_after
         )
 
-    async def _attempts(
+    async def _attempt_until_final(
         self,
         call: call_lib.Call,
         work: admission.Work,
@@ -249,19 +257,19 @@
     ) -> findings.Failure | None:
         while True:
             progress.stage = "place"
-            target = await self._find(work, progress)
+            target = await self._wait_for_target(work, progress)
             if isinstance(target, choice_lib.Picked) and (
-                await self._waited_for_turn(work, progress, target)
+                await self._wait_for_prefill_turn(work, progress, target)
             ):
-                # Things have changed meanwhile.
-                target = await self._find(work, progress)
+                # Targets may have changed during the wait.
+                target = await self._wait_for_target(work, progress)
             if isinstance(target, findings.Failure):
                 return target
-            if not await self._permitted(work, progress, target):
+            if not await self._acquire_send_permit(work, progress, target):
                 continue
             progress.stage = "repeat"
-            if progress.sends and not await self._may_repeat(work):
-                return self._given_up(work, progress, "no_repeats_left")
+            if progress.sends and not await self._acquire_repeat(work):
+                return self._not_served(work, progress, "no_repeats_left")
             result = await self._sender.send(call, work, progress, target)
             match result:
                 case sending.Passed(status=status):
@@ -270,37 +278,39 @@
                     return None
                 case sending.Refused():
                     failure = await self._after_refusal(work, progress, result)
-                case sending.Broken():
-                    failure = await self._after_break(
+                case sending.BrokenAttempt():
+                    failure = await self._after_broken_attempt(
                         call, work, progress, result
                     )
-            if isinstance(failure, _Over):
+            if isinstance(failure, _AnswerFinal):
                 return None
             if failure is not None:
                 return failure
 
-    async def _permitted(
+    async def _acquire_send_permit(
         self,
         work: admission.Work,
         progress: sending.Progress,
         picked: choice_lib.Picked,
     ) -> bool:
-        """Whether a target that names a limit takes this request now."""
-        said = picked.target.said
+        """Waits for a rate-limited target; returns whether to send now."""
+        registration = picked.target.said
         view = self._parts.view
-        if not view.is_rate_limited(said):
+        if not view.is_rate_limited(registration):
             return True
         progress.stage = "limit"
         now = clock.now()
-        until = self._until_place(work, progress)
-        again = await self._parts.permit(said, max(0.0, until - now))
-        if again is not None:
-            view.block(said.name, clock.now() + again)
+        wait_deadline = self._target_wait_deadline(work, progress)
+        retry_seconds = await self._parts.permit(
+            registration, max(0.0, wait_deadline - now)
+        )
+        if retry_seconds is not None:
+            view.block(registration.name, clock.now() + retry_seconds)
             return False
-        # It may have begun to leave, or to unload the model, meanwhile.
-        return view.still_takes(said, sending.ask(work, progress))
+        # The target may have begun to drain or to unload the model meanwhile.
+        return view.still_takes(registration, sending.ask(work, progress))
 
-    async def _may_repeat(self, work: admission.Work) -> bool:
+    async def _acquire_repeat(self, work: admission.Work) -> bool:
         service = work.service.name
         if self._parts.repeats(service).spend(clock.now()):
             return True
@@ -310,136 +320,153 @@
         self,
         work: admission.Work,
         progress: sending.Progress,
-        refused: sending.Refused,
+        refusal: sending.Refused,
     ) -> findings.Failure | None:
         progress.refusals += 1
-        if refused.what:
-            self._parts.view.denied(progress.target, refused.what)
-        left = work.deadline - clock.now()
-        if progress.refusals >= _REFUSALS or left <= _REFUSED_SECONDS:
-            return self._given_up(work, progress, f"refused_{refused.status}")
-        if not refused.what:
-            await asyncio.sleep(_REFUSED_SECONDS * progress.refusals)
+        if refusal.what:
+            self._parts.view.denied(progress.target, refusal.what)
+        remaining = work.deadline - clock.now()
+        if (
+            progress.refusals >= _MAX_REFUSALS
+            or remaining <= _REFUSAL_PAUSE_SECONDS
+        ):
+            return self._not_served(work, progress, f"refused_{refusal.status}")
+        if not refusal.what:
+            await asyncio.sleep(_REFUSAL_PAUSE_SECONDS * progress.refusals)
         return None
 
-    async def _after_break(
+    async def _after_broken_attempt(
         self,
         call: call_lib.Call,
         work: admission.Work,
         progress: sending.Progress,
-        broken: sending.Broken,
-    ) -> findings.Failure | _Over | None:
-        """Decides whether a request that broke is sent again.
+        broken: sending.BrokenAttempt,
+    ) -> findings.Failure | _AnswerFinal | None:
+        """Decides whether a request is sent again after a failed attempt.
 
         Returns:
-            The failure to answer with, or None to send it again.
+            None to send it again, the failure to answer with, or
+            `_AnswerFinal` if the answer to the caller has ended here.
         """
         if not broken.sent:
             progress.refusals += 1
-            if progress.refusals >= _REFUSALS:
-                return self._given_up(work, progress, broken.why)
+            if progress.refusals >= _MAX_REFUSALS:
+                return self._not_served(work, progress, broken.why)
             return None
         progress.tried.append(progress.target)
-        again = (
+        may_repeat = (
             work.route.repeatable
             and len(progress.tried) < work.route.attempts
             and clock.now() < work.deadline
         )
-        if again:
+        if may_repeat:
             return None
         if call.begun:
-            # Part of an answer has gone out; what follows must not make it
-            # look whole.
+            # Part of an answer has been sent; it must not appear complete.
             call.abort()
             progress.reason = broken.why
-            return _Over()
+            return _AnswerFinal()
         if broken.answer is not None:
-            await self._sender.pass_whole(call, progress, broken.answer)
+            await self._sender.relay_complete_answer(
+                call, progress, broken.answer
+            )
             progress.reason = broken.why
-            return _Over()
-        return self._given_up(work, progress, broken.why)
+            return _AnswerFinal()
+        return self._not_served(work, progress, broken.why)
 
-    def _stopped(
+    def _stop_failure(
         self, work: admission.Work, progress: sending.Progress
     ) -> findings.Failure:
-        """Returns the answer to a request that waits on a stopping host."""
+        """Returns the failure for a request that waits on a stopping host."""
         if progress.may_have_run:
-            return self._given_up(work, progress, "stopping")
+            return self._not_served(work, progress, "stopping")
         return admission.stopping()
 
-    def _given_up(
+    def _not_served(
         self,
         work: admission.Work,
         progress: sending.Progress,
-        why: str,
+        reason: str,
         expected: float | None = None,
     ) -> findings.Failure:
-        """Returns the final answer of a request that was not served.
+        """Returns the failure for a request that was not served.
 
         Args:
             work: The request.
-            progress: What has happened to it.
-            why: The reason, for the caller and the log.
-            expected: When it could be served, if that is known.
+            progress: State of its attempts.
+            reason: For the caller and the log.
+            expected: When it could be served, if known.
         """
         now = clock.now()
-        late = now >= work.deadline
+        is_past_deadline = now >= work.deadline
         if not progress.may_have_run:
-            again = patience_lib.come_back(
+            retry_after = patience_lib.come_back(
                 expected=expected, now=now, usual=admission.COME_BACK_SECONDS
             )
             return findings.not_run(
-                why,
-                f"no target took it: {why}",
+                reason,
+                f"no target accepted the request: {reason}",
                 status=503,
-                retry_after=None if late else again,
+                retry_after=None if is_past_deadline else retry_after,
             )
         return findings.Failure(
             outcome=findings.Outcome.UNKNOWN,
-            reason=why,
-            detail=f"it may have run: {why}",
-            status=504 if late else 502,
+            reason=reason,
+            detail=f"the request may have run: {reason}",
+            status=504 if is_past_deadline else 502,
         )
 
-    # Choice.
+    # Choice of a target.
 
-    async def _find(
+    async def _wait_for_target(
         self, work: admission.Work, progress: sending.Progress
     ) -> choice_lib.Picked | findings.Failure:
-        """Returns a target, after waiting for one if that pays."""
-        holds_out = work.came + work.route.objective * _PLACE_OBJECTIVES
-        until = self._until_place(work, progress)
-        until = min(work.deadline, max(until, clock.now() + _LEAST_WAIT))
-        stop_missing = None
+        """Returns a target, waiting for one if it can still be in time."""
+        free_slot_deadline = (
+            work.came + work.route.objective * _FREE_SLOT_OBJECTIVES
+        )
+        wait_deadline = self._target_wait_deadline(work, progress)
+        wait_deadline = min(
+            work.deadline,
+            max(wait_deadline, clock.now() + _MIN_TARGET_WAIT_SECONDS),
+        )
+        stop_reporting_missing = None
         try:
             while True:
                 now = clock.now()
                 if self._parts.rules.lease_until() < now:
                     return admission.no_lease()
-                ask = sending.ask(work, progress, waits=now < holds_out)
-                found = self._parts.view.pick(ask, now, limit=work.limit)
-                if isinstance(found, choice_lib.Picked):
+                requirements = sending.ask(
+                    work, progress, waits=now < free_slot_deadline
+                )
+                pick = self._parts.view.pick(
+                    requirements, now, limit=work.limit
+                )
+                if isinstance(pick, choice_lib.Picked):
                     self._parts.found(work)
-                    return found
-                if now >= until or (found.expected or now) > until:
-                    return self._given_up(
-                        work, progress, found.reason, found.expected
+                    return pick
+                if (
+                    now >= wait_deadline
+                    or (pick.expected or now) > wait_deadline
+                ):
+                    return self._not_served(
+                        work, progress, pick.reason, pick.expected
                     )
                 if not self._parts.rules.takes(work.route.kind):
-                    # It would still wait when the process ends, and its
+                    # It could still be waiting when the process ends; its
                     # caller would get a closed connection.
-                    return self._stopped(work, progress)
-                if stop_missing is None and found.reason in (
+                    return self._stop_failure(work, progress)
+                if stop_reporting_missing is None and pick.reason in (
                     "no_model",
                     "no_adapter",
                 ):
-                    stop_missing = self._parts.missing(work)
-                await self._parts.changed(min(until - now, 0.1))
+                    stop_reporting_missing = self._parts.missing(work)
+                await self._parts.changed(min(wait_deadline - now, 0.1))
         finally:
-            if stop_missing is not None:
-                stop_missing()
+            if stop_reporting_missing is not None:
+                stop_reporting_missing()
 
-    def _until_place(
+    def _target_wait_deadline(
         self, work: admission.Work, progress: sending.Progress
     ) -> float:
         return patience_lib.until_place(
@@ -449,24 +476,26 @@
             deadline=work.deadline,
         )
 
-    async def _waited_for_turn(
+    async def _wait_for_prefill_turn(
         self,
         work: admission.Work,
         progress: sending.Progress,
         picked: choice_lib.Picked,
     ) -> bool:
-        """Waits until an engine should get this prompt; False if at once."""
+        """Waits for the prefill turn; returns False if there is no wait."""
         if progress.sends or not work.prompt or work.service.engine is None:
             return False
-        said = picked.target.said
+        registration = picked.target.said
         rank = sending.priority(work)
-        wait = await self._parts.turn(said.name, said.domain, work.prompt, rank)
+        wait = await self._parts.turn(
+            registration.name, registration.domain, work.prompt, rank
+        )
         now = clock.now()
-        self._parts.view.set_turn(said.name, now + wait)
-        until = patience_lib.until_turn(
+        self._parts.view.set_turn(registration.name, now + wait)
+        latest_turn = patience_lib.until_turn(
             route=work.route, came=work.came, now=now, deadline=work.deadline
         )
-        wait = min(wait, until - now)
+        wait = min(wait, latest_turn - now)
         if wait <= 0:
             return False
         progress.turn = wait
@@ -474,9 +503,9 @@
         await asyncio.sleep(wait)
         return True
 
-    # One attempt.
+    # Answers to callers.
 
-    async def _fail(
+    async def _answer_failure(
         self,
         call: call_lib.Call,
         progress: sending.Progress,
@@ -488,7 +517,7 @@
         progress.status = failure.status
         headers = {"Content-Type": "text/plain; charset=utf-8"}
         if failure.retry_after is not None:
-            # Rounded up: who comes back too early is refused once more.
+            # Rounded up: a retry before that time would be refused again.
             seconds = math.ceil(failure.retry_after * 100) / 100
             headers[self._parts.rules.names.retry_after] = (
                 f"{max(0.05, seconds):g}"
--- a/packages/endivestream/src/endivestream/request/forward_parts.py
+++ b/packages/endivestream/src/endivestream/request/forward_parts.py
@@ -1,4 +1,4 @@
-"""What the forwarder shares with the rest of an entry host."""
+"""Interfaces between the forwarder and the rest of an entry host."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Credit:
-    """Where a team's credit comes from; see `process.entry`."""
+    """Source of teams' credit; see `process.entry`."""
 
     async def take(
         self,
@@ -25,51 +25,55 @@
         soon: float,
         patience: float,
     ) -> float | None:
-        """Takes credit, waiting for it if that pays.
+        """Takes credit, waiting for it if the request can still be in time.
 
         Args:
-            team: Whose credit.
-            cost: How much.
-            soon: Seconds that the request can wait and still be in time.
-            patience: Seconds that it can wait at all.
+            team: The team that is charged.
+            cost: Credit to take.
+            soon: Seconds that the request can wait and still meet its
+                objective.
+            patience: Maximum seconds that it can wait.
 
         Returns:
-            None, or seconds after which the caller should come back.
+            None if the credit was taken, else the seconds after which the
+            caller should retry.
         """
         raise NotImplementedError
 
     def refund(self, team: document_lib.Team, cost: float) -> None:
-        """Gives back the credit of a request that has not run."""
+        """Refunds the credit of a request that has not run."""
         raise NotImplementedError
 
 
 class Parts(NamedTuple):
-    """What requests share on this host.
+    """Services and callbacks shared by all requests of this host.
 
     Attributes:
-        rules: What requests are admitted by.
-        view: Targets.
+        rules: Admission rules.
+        view: This host's view of the targets.
         pool: Connections to targets.
-        credit: Teams' credit.
+        credit: Source of teams' credit.
         repeats: Returns this host's repeat budget for a service.
-        ask_repeat: Asks the leader for one repeat from a service's shared
-            repeat budget.
-        missing: Tells the planner what is missing; returns what ends that.
-        changed: Waits until targets change, for so many seconds at most.
-        confirm: Waits until the configuration here surely is the newest, for
-            so many seconds at most; whether it is.
+        ask_repeat: Requests one repeat from the leader, out of a service's
+            shared repeat budget; returns whether it was granted.
+        missing: Reports to the planner what no target holds; returns a
+            callback that ends the report.
+        changed: Waits until targets change, up to the given seconds.
+        confirm: Waits until this host's configuration is confirmed as the
+            newest, up to the given seconds; returns whether it was.
         asked: Counts a request for a model.
-        found: Told of a request that has found its target.
-        idle: Told when the last run of a model that is to go has ended.
-        freed: Told when a place on a target may be free.
-        permit: Waits until a request may be sent to a target that names a
-            limit, for so many seconds at most. Returns None if it may, else
-            the seconds after which the target may be tried again.
-        heard_limit: Told what each answer of a target says of the requests
-            that it takes; None if it says nothing.
-        turn: Returns seconds until an engine should get a prompt, by the
-            engine, its failure domain, the prompt's tokens, its rank.
-        observe: Takes a finished request's figures.
+        found: Called when a request has been assigned a target.
+        idle: Called when the last run of a model that is to be unloaded has
+            ended.
+        freed: Called when a slot on a target may be free.
+        permit: Waits until a request may be sent to a rate-limited target, up
+            to the given seconds. Returns None if it may, else the seconds
+            after which the target may be tried again.
+        heard_limit: Called for each answer of a target with the text of its
+            rate limit header; None without the header.
+        turn: Returns seconds until the prefill turn of a prompt, by the
+            engine, its failure domain, the prompt's tokens and rank.
+        observe: Records the metrics of a finished request.
     """
 
     rules: admission.Rules
@@ -100,13 +104,13 @@
         route: The route's name, or empty.
         kind: The route's kind, or empty.
         team: The team's name, or empty.
-        status: The status sent; 0 if the caller left before.
-        reason: Why it ended so.
-        waited: Seconds until it was first sent to a target.
-        first: Seconds until the first byte of the answer.
-        total: Seconds until the end.
-        gap: Longest pause between two pieces of a stream, in seconds.
-        tries: Targets that it was sent to.
+        status: The status sent; 0 if the caller disconnected before.
+        reason: Reason of the outcome.
+        waited: Seconds from arrival until it was first sent to a target.
+        first: Seconds from arrival until the first byte of the answer.
+        total: Seconds from arrival until the end.
+        gap: Longest pause between two chunks of a stream, in seconds.
+        tries: Number of attempts.
     """
 
     route: str
--- a/packages/endivestream/src/endivestream/request/sending.py
+++ b/packages/endivestream/src/endivestream/request/sending.py
@@ -1,8 +1,8 @@
-"""One attempt: a request goes to one target, its answer back to the caller.
+"""One attempt: sends a request to one target and relays its answer.
 
-Streams are passed on as they come, other answers once they are whole. Nothing
-that broke off ever looks whole, and nothing is passed on that may be another
-request's answer.
+Streams are relayed as they arrive, other answers once they are complete. An
+answer that broke off never appears complete to the caller, and an answer that
+may belong to another request is not relayed.
 """
 
 from __future__ import annotations
@@ -25,12 +25,14 @@
 from endivestream.request import sse
 from endivestream.version import document as document_lib
 
-# To reach a target. One that is up answers within a few milliseconds; one
-# whose packets are lost would cost the objective of most requests.
+# A target that is up accepts a connection within a few milliseconds; waiting
+# longer for one whose packets are lost would exceed the objective of most
+# requests.
 _CONNECT_SECONDS = 0.4
-# An answer that is not a stream is kept whole before any of it goes out, so
-# that a broken one can be sent again or told as broken; larger ones are not.
-_WHOLE_BYTES = 256 * 1024
+# An answer that is not a stream is buffered up to this size before any of it
+# is relayed, so that after a break the request can be sent again or the
+# failure reported; larger answers are relayed as they arrive.
+_MAX_BUFFERED_ANSWER_BYTES = 256 * 1024
 # An idempotent request that gets no answer within this multiple of its
 # objective is sent to another target.
 _HEDGE_OBJECTIVES = 2.0
@@ -38,23 +40,23 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Progress:
-    """What has happened to a request so far.
+    """State of a request and its attempts.
 
     Attributes:
         tried: Targets that may have run it.
-        refusals: How often targets refused it without running it.
-        sends: How often it was sent.
+        refusals: Number of refusals by targets that did not run it.
+        sends: Number of attempts.
         may_have_run: Whether some target may have run it.
-        last_event: The last event passed on, in a stream.
-        waited: When it was first sent.
-        first: When the first byte of the answer was there.
-        last: When a piece of a stream was last passed on.
-        turn: How long it waited for its turn at an engine, in seconds.
-        gap: Longest pause between two pieces of a stream so far, in seconds.
+        last_event: Id of the last event relayed, in a stream.
+        waited: When it was first sent, i.e. when its wait for a target ended.
+        first: When the first byte of the answer arrived.
+        last: When a chunk of a stream was last relayed.
+        turn: Seconds that it waited for its prefill turn at an engine.
+        gap: Longest pause between two chunks of a stream so far, in seconds.
         status: The status sent.
-        reason: Why it ended.
+        reason: Reason of the outcome.
         target: The last target.
-        starting: What the attempt under way needs, until its first event.
+        starting: Requirements of the current attempt, until its first event.
         stage: What it waits for: `lease`, `credit`, `place`, `turn`, `limit`,
             `repeat` or `target`.
     """
@@ -77,29 +79,31 @@
 
     @property
     def is_sent(self) -> bool:
-        """Whether an attempt with a target is under way."""
+        """Whether an attempt at a target is in progress."""
         return self.stage == "target"
 
 
 class Refused(NamedTuple):
-    """A target proved that it has not run the request.
+    """The target refused the request without running it.
 
     Attributes:
-        status: Its status.
-        what: What it lacks, for status 421; else empty.
+        status: Status of its answer.
+        what: The model that the target lacks, or MODEL/ADAPTER, for status
+            421; else empty.
     """
 
     status: int
     what: str
 
 
-class Broken(NamedTuple):
-    """An attempt that ended without a whole answer.
+class BrokenAttempt(NamedTuple):
+    """An attempt that ended without a complete answer.
 
     Attributes:
-        sent: Whether any byte of the request may have left.
-        why: For the log.
-        answer: What the target answered, if it was a failure of its own.
+        sent: Whether any byte of the request may have been sent.
+        why: Reason, for the caller and the log.
+        answer: The target's answer, if it is complete and has a status of 500
+            or more.
     """
 
     sent: bool
@@ -108,7 +112,7 @@
 
 
 class Answer(NamedTuple):
-    """A whole answer of a target."""
+    """A complete answer of a target."""
 
     status: int
     headers: httputil.HTTPHeaders
@@ -116,16 +120,16 @@
 
 
 class Passed(NamedTuple):
-    """The answer has gone to the caller, whole."""
+    """The complete answer has been relayed to the caller."""
 
     status: int
 
 
-Result = Refused | Broken | Passed
+Result = Refused | BrokenAttempt | Passed
 
 
 class Sender:
-    """Sends requests to targets. Lives as long as the process."""
+    """Sends requests to targets, for the lifetime of the process."""
 
     def __init__(
         self,
@@ -137,16 +141,17 @@
         freed: Callable[[], None],
         heard_limit: Callable[[registry_lib.Registration, str | None], None],
     ) -> None:
-        """Opens nothing yet.
+        """Initializes the sender; opens no connection.
 
         Args:
             names: Header names.
-            view: Targets; told of every attempt.
+            view: This host's view of the targets; records every attempt.
             pool: Connections to targets.
-            idle: Told when the last run of a model that is to go has ended.
-            freed: Told when a place on a target may be free.
-            heard_limit: Told what each answer of a target says of the
-                requests that it takes; None if it says nothing.
+            idle: Called when the last run of a model that is to be unloaded
+                has ended.
+            freed: Called when a slot on a target may be free.
+            heard_limit: Called for each answer of a target with the text of
+                its rate limit header; None without the header.
         """
         self._names = names
         self._view = view
@@ -162,96 +167,113 @@
         progress: Progress,
         picked: choice_lib.Picked,
     ) -> Result:
-        """Makes one attempt; `progress` is told what became of it."""
-        said = picked.target.said
+        """Makes one attempt and records its outcome in `progress`."""
+        registration = picked.target.said
         view = self._view
-        progress.target = said.name
+        progress.target = registration.name
         progress.stage = "target"
         progress.sends += 1
         progress.waited = progress.waited or clock.now()
         exchange = exchange_lib.Exchange(
-            pool=self._pool, url=f"http://{said.address}/"
+            pool=self._pool, url=f"http://{registration.address}/"
         )
-        asked = ask(work, progress)
-        view.sent(said.name, asked, clock.now())
-        progress.starting = asked
-        # Until it is known how the attempt ended, a caller who leaves says
-        # nothing of the target.
+        requirements = ask(work, progress)
+        view.sent(registration.name, requirements, clock.now())
+        progress.starting = requirements
+        # Stays False if the caller disconnects before the attempt has a
+        # result: that is no evidence of a fault of the target.
         failed = False
         try:
-            result = await self._exchange(call, work, progress, exchange, said)
-            failed = _is_at_fault(result)
+            result = await self._exchange_with_target(
+                call, work, progress, exchange, registration
+            )
+            failed = _is_target_failure(result)
             return result
         finally:
             exchange.close()
-            self._started(progress)
-            if view.ended(said.name, asked, clock.now(), failed=failed):
+            self._record_start(progress)
+            if view.ended(
+                registration.name, requirements, clock.now(), failed=failed
+            ):
                 self._idle()
             self._freed()
 
-    async def _exchange(
+    async def _exchange_with_target(
         self,
         call: call_lib.Call,
         work: admission.Work,
         progress: Progress,
         exchange: exchange_lib.Exchange,
-        said: registry_lib.Registration,
+        registration: registry_lib.Registration,
     ) -> Result:
         try:
             async with asyncio.timeout_at(
-                _loop_time(self._until(work, progress))
+                _loop_time(self._attempt_deadline(work, progress))
             ):
-                left = work.deadline - clock.now()
+                remaining = work.deadline - clock.now()
                 await exchange.start(
                     call.method,
                     call.uri,
-                    self._headers(call, work, progress, said.name),
+                    self._request_headers(
+                        call, work, progress, registration.name
+                    ),
                     call.body,
-                    connect_seconds=min(_CONNECT_SECONDS, max(0.01, left)),
+                    connect_seconds=min(_CONNECT_SECONDS, max(0.01, remaining)),
                 )
                 head = await exchange.head(seconds=work.route.timeout)
-                self._note_limit(work, said, head)
-                return await self._answer(call, work, progress, exchange, head)
+                self._report_rate_limit(work, registration, head)
+                return await self._relay_answer(
+                    call, work, progress, exchange, head
+                )
         except TimeoutError:
             progress.may_have_run = progress.may_have_run or exchange.sent
-            return Broken(exchange.sent, "timeout")
+            return BrokenAttempt(exchange.sent, "timeout")
         except exchange_lib.ExchangeError as error:
             progress.may_have_run = progress.may_have_run or error.sent
-            return Broken(error.sent, "broke_off" if error.sent else "no_way")
+            return BrokenAttempt(
+                error.sent, "broke_off" if error.sent else "no_way"
+            )
         except asyncio.CancelledError:
             progress.may_have_run = progress.may_have_run or exchange.sent
             raise
 
-    def _note_limit(
+    def _report_rate_limit(
         self,
         work: admission.Work,
-        said: registry_lib.Registration,
+        registration: registry_lib.Registration,
         head: exchange_lib.Head,
     ) -> None:
         names = self._names
         if head.headers.get(names.request, "") != work.request:
             return
-        text = head.headers.get(names.rate_limit)
-        # A refusal may come from another target that has taken the address
-        # over, so it does not end a limit.
-        if text is not None or head.status != 421:
-            self._heard_limit(said, text)
-
-    def _started(self, progress: Progress) -> None:
-        """Notes once for each attempt that its prompt has been read."""
+        limit_text = head.headers.get(names.rate_limit)
+        # A refusal with status 421 may come from another target that now has
+        # this address, so it does not end a limit.
+        if limit_text is not None or head.status != 421:
+            self._heard_limit(registration, limit_text)
+
+    def _record_start(self, progress: Progress) -> None:
+        """Records once per attempt that its prompt has been processed."""
         if progress.starting is not None:
             self._view.started(progress.target, progress.starting)
             progress.starting = None
 
-    def _until(self, work: admission.Work, progress: Progress) -> float:
-        """Returns until when one attempt may take."""
-        more = len(progress.tried) + 1 < work.route.attempts
-        if work.route.kind == document_lib.Kind.IDEMPOTENT and more:
-            hedge = clock.now() + _HEDGE_OBJECTIVES * work.route.objective
-            return min(work.deadline, hedge)
+    def _attempt_deadline(
+        self, work: admission.Work, progress: Progress
+    ) -> float:
+        """Returns the deadline of one attempt."""
+        has_further_attempts = len(progress.tried) + 1 < work.route.attempts
+        if (
+            work.route.kind == document_lib.Kind.IDEMPOTENT
+            and has_further_attempts
+        ):
+            hedge_deadline = (
+                clock.now() + _HEDGE_OBJECTIVES * work.route.objective
+            )
+            return min(work.deadline, hedge_deadline)
         return work.deadline
 
-    def _headers(
+    def _request_headers(
         self,
         call: call_lib.Call,
         work: admission.Work,
@@ -277,9 +299,9 @@
         for name, value in call.headers.get_all():
             if name not in dropped:
                 fields.add(name, value)
-        left = work.deadline - clock.now()
-        if math.isfinite(left):
-            fields[names.deadline_ms] = str(max(1, int(left * 1000)))
+        remaining = work.deadline - clock.now()
+        if math.isfinite(remaining):
+            fields[names.deadline_ms] = str(max(1, int(remaining * 1000)))
         fields[names.instance] = target
         if work.team is not None:
             fields[names.team] = work.team.name
@@ -288,7 +310,7 @@
             fields[names.last_event] = progress.last_event.decode("latin-1")
         return fields
 
-    async def _answer(
+    async def _relay_answer(
         self,
         call: call_lib.Call,
         work: admission.Work,
@@ -299,24 +321,26 @@
         names = self._names
         self._view.heard(progress.target, clock.now())
         if head.headers.get(names.request, "") != work.request:
-            # An answer to an earlier request, sent late on this connection.
-            # One that names no request may be that as well.
+            # A late answer to an earlier request on this connection. One
+            # without a request id may be such an answer as well.
             progress.may_have_run = True
-            return Broken(True, "crossed_answer")
+            return BrokenAttempt(True, "crossed_answer")
         if head.status == 421 or names.not_run in head.headers:
-            what = ""
+            missing = ""
             if head.status == 421:
-                what = _lacking(work)
-            return Refused(head.status, what)
+                missing = _model_or_adapter(work)
+            return Refused(head.status, missing)
         progress.may_have_run = True
         if call.begun and head.status >= 300:
-            # The rest of a stream was asked for; a failure is no part of it.
-            return Broken(True, f"target_{head.status}")
+            # This attempt resumes a stream; an error answer is no part of it.
+            return BrokenAttempt(True, f"target_{head.status}")
         if work.route.kind == document_lib.Kind.STREAM and head.status < 300:
-            return await self._stream(call, work, progress, exchange, head)
-        return await self._whole(call, work, progress, exchange, head)
+            return await self._relay_stream(
+                call, work, progress, exchange, head
+            )
+        return await self._relay_buffered(call, work, progress, exchange, head)
 
-    async def _whole(
+    async def _relay_buffered(
         self,
         call: call_lib.Call,
         work: admission.Work,
@@ -324,7 +348,7 @@
         exchange: exchange_lib.Exchange,
         head: exchange_lib.Head,
     ) -> Result:
-        """Passes an answer on once it has come whole."""
+        """Relays an answer once it is complete, or too large to buffer."""
         parts: list[bytes] = []
         size = 0
         async for chunk in exchange.chunks(silence=work.route.timeout):
@@ -335,8 +359,8 @@
                 await call.write(chunk)
                 continue
             parts.append(chunk)
-            if size > _WHOLE_BYTES:
-                headers = _passed_headers(head.headers)
+            if size > _MAX_BUFFERED_ANSWER_BYTES:
+                headers = _end_to_end_headers(head.headers)
                 progress.status = head.status
                 await call.begin(head.status, headers, b"".join(parts))
         if call.begun:
@@ -344,15 +368,15 @@
             return Passed(head.status)
         answer = Answer(head.status, head.headers, b"".join(parts))
         if head.status >= 500:
-            return Broken(True, f"target_{head.status}", answer)
-        await self.pass_whole(call, progress, answer)
+            return BrokenAttempt(True, f"target_{head.status}", answer)
+        await self.relay_complete_answer(call, progress, answer)
         return Passed(head.status)
 
-    async def pass_whole(
+    async def relay_complete_answer(
         self, call: call_lib.Call, progress: Progress, answer: Answer
     ) -> None:
-        """Passes a whole answer on as it is."""
-        headers = _passed_headers(answer.headers)
+        """Relays a complete answer unchanged."""
+        headers = _end_to_end_headers(answer.headers)
         if "Transfer-Encoding" in answer.headers or (
             "Content-Length" not in headers
         ):
@@ -361,7 +385,7 @@
         await call.begin(answer.status, headers, answer.body)
         call.finish()
 
-    async def _stream(
+    async def _relay_stream(
         self,
         call: call_lib.Call,
         work: admission.Work,
@@ -369,18 +393,18 @@
         exchange: exchange_lib.Exchange,
         head: exchange_lib.Head,
     ) -> Result:
-        """Passes events on as they come."""
-        cutter = sse.Cutter()
-        before = math.inf
+        """Relays events as they arrive."""
+        splitter = sse.Cutter()
+        previous = math.inf
         async for chunk in exchange.chunks(silence=work.route.timeout):
             now = clock.now()
-            progress.gap = max(progress.gap, now - before)
-            before = now
+            progress.gap = max(progress.gap, now - previous)
+            previous = now
             self._view.heard(progress.target, now)
-            self._started(progress)
+            self._record_start(progress)
             if work.route.resumable:
-                # Only whole events: another target goes on after the last.
-                events = cutter.feed(chunk)
+                # Only complete events: another target resumes after the last.
+                events = splitter.feed(chunk)
                 chunk = b"".join(event.raw for event in events)
                 for event in events:
                     progress.last_event = event.id or progress.last_event
@@ -389,15 +413,15 @@
             progress.last = clock.now()
             progress.first = progress.first or progress.last
             if not call.begun:
-                headers = _passed_headers(head.headers)
+                headers = _end_to_end_headers(head.headers)
                 progress.status = head.status
                 await call.begin(head.status, headers, chunk)
             else:
                 await call.write(chunk)
         if not call.begun:
-            await call.begin(head.status, _passed_headers(head.headers))
-        if cutter.rest:
-            await call.write(cutter.rest)
+            await call.begin(head.status, _end_to_end_headers(head.headers))
+        if splitter.rest:
+            await call.write(splitter.rest)
         call.finish()
         return Passed(head.status)
 
@@ -405,12 +429,12 @@
 def ask(
     work: admission.Work, progress: Progress, *, waits: bool = False
 ) -> choice_lib.Ask:
-    """Returns what a request needs of a target.
+    """Returns a request's requirements of a target.
 
     Args:
         work: The request.
-        progress: What has happened to it.
-        waits: Whether it can still wait for a place on a full engine.
+        progress: State of its attempts.
+        waits: Whether it can still wait for a free slot on a full engine.
     """
     on_engine = work.service.engine is not None
     return choice_lib.Ask(
@@ -424,32 +448,32 @@
     )
 
 
-def _is_at_fault(result: Result) -> bool:
-    """Whether a target broke the request, so that it may break others."""
+def _is_target_failure(result: Result) -> bool:
+    """Returns whether a result counts as a failure of its target."""
     match result:
-        case Broken(answer=answer):
+        case BrokenAttempt(answer=answer):
             return answer is None
         case Refused(status=status, what=what):
-            # Another target has taken the address over.
+            # Another target now has this address.
             return status == 421 and not what
     return False
 
 
 def priority(work: admission.Work) -> int:
-    """Returns 0 to 9: the team's rank, or the route's if it has none."""
+    """Returns a rank of 0 to 9: the team's, or the route's if it has none."""
     rank = work.route.priority
     if work.team is not None and work.team.priority is not None:
         rank = work.team.priority
     return min(9, max(0, rank))
 
 
-def _lacking(work: admission.Work) -> str:
-    """Returns what a target lacks that says it cannot take the request."""
+def _model_or_adapter(work: admission.Work) -> str:
+    """Returns the model, or MODEL/ADAPTER, that a request needs."""
     return f"{work.model}/{work.adapter}" if work.adapter else work.model
 
 
-def _passed_headers(headers: httputil.HTTPHeaders) -> httputil.HTTPHeaders:
-    """Returns a target's headers without those of its connection."""
+def _end_to_end_headers(headers: httputil.HTTPHeaders) -> httputil.HTTPHeaders:
+    """Returns a target's headers without the hop-by-hop headers."""
     passed = httputil.HTTPHeaders()
     for name, value in headers.get_all():
         if name not in call_lib.HOP_HEADERS:
@@ -458,7 +482,7 @@
 
 
 def _loop_time(when: float) -> float | None:
-    """Returns a time of the boot clock as a time of the event loop."""
+    """Converts a time of the boot clock to a time of the event loop."""
     if math.isinf(when):
         return None
     return asyncio.get_running_loop().time() + (when - clock.now())
--- a/tests/test_forward.py
+++ b/tests/test_forward.py
@@ -1,4 +1,4 @@
-"""Requests on an entry host, against targets that misbehave byte by byte."""
+"""Tests of requests on an entry host, against misbehaving targets."""
 
 import asyncio
 import math
@@ -65,12 +65,12 @@
         self.questions = 0
         self.confirms = True
         self.newer = None
-        self.repeat_asks = 0
+        self.repeat_requests = 0
         self.grants_repeat = False
         self.turns = []
         self.limits = []
-        self.permits = []
-        self.permitted = []
+        self.permit_results = []
+        self.permit_requests = []
         self.permit_waits = False
         self.repeat_waits = False
         self.leaves = ""
@@ -103,7 +103,7 @@
             idle=lambda: None,
             freed=lambda: None,
             permit=self._permit,
-            heard_limit=lambda said, text: self.limits.append(text),
+            heard_limit=lambda registration, text: self.limits.append(text),
             turn=self._turn,
             observe=self.ended.append,
         )
@@ -138,31 +138,33 @@
         return lambda: None
 
     async def _ask_repeat(self, service):
-        self.repeat_asks += 1
+        self.repeat_requests += 1
         if self.repeat_waits:
             await asyncio.Event().wait()
         return self.grants_repeat
 
-    async def _permit(self, said, patience):
-        self.permitted.append(said.name)
+    async def _permit(self, registration, patience):
+        self.permit_requests.append(registration.name)
         if self.permit_waits:
             await asyncio.Event().wait()
         if self.leaves:
             self.view.set_targets([], [self.leaves])
-        return self.permits.pop(0) if self.permits else None
+        return self.permit_results.pop(0) if self.permit_results else None
 
     async def _turn(self, target, domain, tokens, rank):
         self.turns.append((target, tokens, rank))
         return self.turn_seconds
 
-    async def _target(self, *scripts, name="", **fields):
+    async def _start_target(self, *scripts, name="", **fields):
         target = await standin.Target(*scripts).start()
         self.targets.append(target)
-        self._know(name or f"t{len(self.targets)}", target.address, **fields)
+        self._register(
+            name or f"t{len(self.targets)}", target.address, **fields
+        )
         return target
 
-    def _know(self, name, address, **fields):
-        said = registry_lib.Registration(
+    def _register(self, name, address, **fields):
+        registration = registry_lib.Registration(
             name=name,
             service="desk",
             address=address,
@@ -173,7 +175,7 @@
             loaded=fields.pop("loaded", ()),
         )
         self.view.set_targets(
-            [site_messages.Target(said=said, **fields)], [], clock.now()
+            [site_messages.Target(said=registration, **fields)], [], clock.now()
         )
 
     def _route(self, route, teams=(), engine=None):
@@ -188,20 +190,20 @@
 
 
 class StopTest(ForwardTest):
-    """Guards against connections closed without an answer by a stop."""
+    """Guards against connections closed without an answer when a host stops."""
 
-    async def _stage(self, stage):
-        """Brings a request to where it waits; returns its status at the end."""
+    async def _wait_for_stage(self, stage):
+        """Sends a request and waits until it has reached a stage."""
         self.caller.send(X_Deadline_Ms=60_000, X_Tokens="1000,10")
-        while self._stages() != [stage]:
+        while self._current_stages() != [stage]:
             await asyncio.sleep(0.001)
 
-    def _stages(self):
+    def _current_stages(self):
         active = self.forwarder._active.values()
         return [each.progress.stage for each in active]
 
-    async def _check(self, stage, statuses):
-        await self._stage(stage)
+    async def _check_stop_answer(self, stage, statuses):
+        await self._wait_for_stage(stage)
         self.forwarder.stop_all()
         async with asyncio.timeout(5.0):
             reply = await self.caller.reply()
@@ -214,85 +216,85 @@
     async def _never(self, *args, **kwargs):
         await asyncio.Event().wait()
 
-    async def test_one_that_waits_for_the_lease(self):
+    async def test_a_request_that_waits_for_the_lease_is_answered(self):
         self.lease = -math.inf
-        await self._check("lease", [503])
+        await self._check_stop_answer("lease", [503])
 
-    async def test_one_that_waits_for_credit(self):
+    async def test_a_request_that_waits_for_credit_is_answered(self):
         team = document_lib.Team(
             name="band", keys=("k",), rate=1.0, burst=9.0, plain_cost=1
         )
         self._route(ONCE, teams=(team,))
         self.credit.take = self._never
         self.caller.send(X_Deadline_Ms=60_000, Authorization="Bearer k")
-        while self._stages() != ["credit"]:
+        while self._current_stages() != ["credit"]:
             await asyncio.sleep(0.001)
         self.forwarder.stop_all()
         reply = await self.caller.reply()
         self.assertEqual((reply.status, reply.whole), (503, True))
         self.assertIn("Retry-After", reply.headers)
 
-    async def test_one_that_waits_for_a_place(self):
+    async def test_a_request_that_waits_for_a_target_is_answered(self):
         self._route(ONCE)
-        await self._check("place", [503])
+        await self._check_stop_answer("place", [503])
 
-    async def test_one_that_waits_for_its_turn(self):
+    async def test_a_request_that_waits_for_its_prefill_turn_is_answered(self):
         models = (registry_lib.Loaded("a"),)
         self._route(ONCE, engine=test_plan.engine())
-        await self._target(standin.says(standin.answer()), loaded=models)
+        await self._start_target(standin.says(standin.answer()), loaded=models)
         self.turn_seconds = 60.0
         self.caller.send(X_Deadline_Ms=60_000, X_Tokens="1000,10", X_Model="a")
         with mock.patch.object(
             forward_lib.patience_lib, "until_turn", lambda **fields: math.inf
         ):
-            while self._stages() != ["turn"]:
+            while self._current_stages() != ["turn"]:
                 await asyncio.sleep(0.001)
         self.forwarder.stop_all()
         self.assertEqual(503, (await self.caller.reply()).status)
 
-    async def test_one_that_waits_for_a_limited_target(self):
+    async def test_a_request_that_waits_for_a_limited_target_is_answered(self):
         self._route(ONCE)
-        await self._target(standin.says(standin.answer()))
+        await self._start_target(standin.says(standin.answer()))
         self.known_limits.heard("t1", 1, 1.5, clock.now())
         self.permit_waits = True
-        await self._check("limit", [503])
+        await self._check_stop_answer("limit", [503])
 
-    async def test_one_that_waits_for_a_repeat(self):
-        """It has run once, so its answer does not say that it has not."""
+    async def test_a_request_that_waits_for_a_repeat_is_answered(self):
+        """Its first attempt may have run, so it must not be reported unrun."""
         self._route(IDEMPOTENT)
         self.repeats = repeats_lib.RepeatBudget(
             ratio=0.0, window=10.0, slack=0.0, now=clock.now() - 60.0
         )
         self.repeat_waits = True
         for _ in range(2):
-            await self._target(standin.resets())
-        await self._check("repeat", [502])
+            await self._start_target(standin.resets())
+        await self._check_stop_answer("repeat", [502])
 
-    async def test_one_at_a_target_that_does_not_answer(self):
-        """It may have run, so its answer does not say that it has not."""
+    async def test_a_request_at_a_hanging_target_is_answered(self):
+        """It may have run, so it must not be reported as not run."""
         self._route(ONCE)
-        target = await self._target(standin.hangs)
-        await self._stage("target")
+        target = await self._start_target(standin.hangs)
+        await self._wait_for_stage("target")
         while not target.requests:
             await asyncio.sleep(0.001)
         self.forwarder.stop_all()
         reply = await self.caller.reply()
         self.assertEqual((reply.status, reply.whole), (502, True))
 
-    async def test_what_cannot_be_finished_is_refused_when_the_stop_begins(
+    async def test_requests_that_cannot_finish_are_refused_when_a_stop_begins(
         self,
     ):
-        """Guards against callers held until the process ends."""
+        """Guards against callers that wait until the process ends."""
         self._route(ONCE)
-        await self._stage("place")
+        await self._wait_for_stage("place")
         self.forwarder.stop_waiting()
-        self.assertEqual(["place"], self._stages())
+        self.assertEqual(["place"], self._current_stages())
         self.refused_kinds.add(ONCE.kind)
         self.forwarder.stop_waiting()
         reply = await self.caller.reply()
         self.assertEqual((reply.status, reply.whole), (503, True))
 
-    async def test_a_stream_that_has_begun_goes_on(self):
+    async def test_a_started_stream_continues(self):
         self._route(STREAM)
 
         async def begins(request, writer):
@@ -300,7 +302,7 @@
             writer.write(standin.chunk(standin.event(1)))
             await asyncio.Event().wait()
 
-        await self._target(begins)
+        await self._start_target(begins)
         self.caller.send(X_Deadline_Ms=60_000)
         while not self.forwarder._active or not any(
             each.call.begun for each in self.forwarder._active.values()
@@ -308,38 +310,38 @@
             await asyncio.sleep(0.001)
         self.forwarder.stop_all()
         await asyncio.sleep(0.01)
-        self.assertEqual(["target"], self._stages())
+        self.assertEqual(["target"], self._current_stages())
 
 
 class RateLimitTest(ForwardTest):
     def _limit(self, target, rate=1.5):
         self.known_limits.heard(target, 1, rate, clock.now())
 
-    async def test_what_a_limited_target_cannot_take_goes_elsewhere(self):
+    async def test_a_request_denied_by_a_rate_limit_uses_another_target(self):
         self._route(ONCE)
-        limited = await self._target(standin.says(standin.answer()))
+        limited = await self._start_target(standin.says(standin.answer()))
         self._limit("t1")
-        self.permits = [2.0]
-        free = await self._target(standin.says(standin.answer()))
+        self.permit_results = [2.0]
+        free = await self._start_target(standin.says(standin.answer()))
         self.view.block("t1", clock.now() + 2.0)
         self.assertEqual((await self.caller.ask()).status, 200)
         self.assertEqual((0, 1), (len(limited.requests), len(free.requests)))
 
     async def test_a_target_without_a_limit_is_preferred(self):
         self._route(ONCE)
-        limited = await self._target(standin.says(standin.answer()))
-        free = await self._target(standin.says(standin.answer()))
+        limited = await self._start_target(standin.says(standin.answer()))
+        free = await self._start_target(standin.says(standin.answer()))
         self._limit("t1")
         for _ in range(4):
             self.assertEqual((await self.caller.ask()).status, 200)
         self.assertEqual((0, 4), (len(limited.requests), len(free.requests)))
 
-    async def test_what_surely_cannot_be_sent_is_refused_at_once(self):
-        """Guards against callers held for a send that comes too late."""
+    async def test_a_send_after_the_deadline_is_refused_immediately(self):
+        """Guards against callers that wait for a send that comes too late."""
         self._route(ONCE)
-        target = await self._target(standin.says(standin.answer()))
+        target = await self._start_target(standin.says(standin.answer()))
         self._limit("t1")
-        self.permits = [4.0]
+        self.permit_results = [4.0]
         reply = await self.caller.ask(X_Deadline_Ms=2000)
         self.assertEqual((reply.status, target.requests), (503, []))
         self.assertAlmostEqual(
@@ -348,17 +350,17 @@
         self.assertEqual("rate_limited", self.ended[0].reason)
         self.assertLess(self.ended[0].total, 1.0)
 
-    async def test_a_send_that_comes_in_time_is_waited_for(self):
+    async def test_a_request_waits_for_a_send_before_its_deadline(self):
         self._route(ONCE)
-        target = await self._target(standin.says(standin.answer()))
+        target = await self._start_target(standin.says(standin.answer()))
         self._limit("t1")
-        self.permits = [0.05, None]
+        self.permit_results = [0.05, None]
         self.assertEqual((await self.caller.ask()).status, 200)
         self.assertEqual(1, len(target.requests))
-        self.assertEqual([], self.permits)
+        self.assertEqual([], self.permit_results)
 
-    async def test_repeats_and_resumed_streams_need_a_send_too(self):
-        """Guards against limits that only first tries keep."""
+    async def test_resumed_streams_count_against_the_limit(self):
+        """Guards against limits that bind first attempts only."""
         self._route(RESUMABLE)
         breaks = standin.resets(
             standin.stream_head(), standin.chunk(standin.event(1))
@@ -372,29 +374,32 @@
         async def next_script(request, writer):
             await scripts.pop(0)(request, writer)
 
-        await self._target(next_script)
-        await self._target(next_script)
+        await self._start_target(next_script)
+        await self._start_target(next_script)
         for name in ("t1", "t2"):
             self._limit(name)
         reply = await self.caller.ask()
         self.assertTrue(reply.whole)
-        self.assertEqual({"t1", "t2"}, set(self.permitted))
+        self.assertEqual({"t1", "t2"}, set(self.permit_requests))
 
-    async def test_a_target_that_begins_to_leave_gets_nothing_it_was_granted(
+    async def test_a_target_that_departs_during_the_wait_gets_no_request(
         self,
     ):
-        """Guards against requests sent after a wait to a leaving target."""
+        """Guards against requests sent to a target that departed meanwhile.
+
+        The target departs while the request waits for its rate limit.
+        """
         self._route(ONCE)
-        target = await self._target(standin.says(standin.answer()))
+        target = await self._start_target(standin.says(standin.answer()))
         self._limit("t1")
         self.leaves = "t1"
         reply = await self.caller.ask(X_Deadline_Ms=500)
         self.assertEqual((reply.status, target.requests), (503, []))
 
-    async def test_limits_that_targets_name_are_noted(self):
-        """An answer without one ends a limit; a refusal does not."""
+    async def test_limits_in_answers_are_recorded(self):
+        """An answer without a limit ends it; a refusal with 421 does not."""
         self._route(ONCE)
-        await self._target(
+        await self._start_target(
             standin.says(standin.answer(X_Rate_Limit="1.5")),
             standin.says(standin.answer(500)),
             standin.says(standin.answer(421)),
@@ -406,9 +411,12 @@
 
 class AdmissionTest(ForwardTest):
     async def test_without_a_lease_nothing_runs(self):
-        """A host that was cut off refuses and says that nothing has run."""
+        """Guards against a partitioned host that serves without a lease.
+
+        The refusal states that the request was not run.
+        """
         self._route(ONCE)
-        target = await self._target(standin.says(standin.answer()))
+        target = await self._start_target(standin.says(standin.answer()))
         self.lease = clock.now() - 1.0
         reply = await self.caller.ask()
         self.assertEqual(reply.status, 503)
@@ -416,12 +424,12 @@
         self.assertEqual(target.requests, [])
 
     async def test_a_request_waits_for_the_first_lease(self):
-        """The caller is served after all hosts have lost power.
+        """Guards against refusals after a power failure of all hosts.
 
-        The host listens before it has found a leader; the request meets it
-        without a configuration and waits, until both are there.
+        The host listens before it has found a leader. The request arrives
+        before the configuration and waits for it and for the lease.
         """
-        target = await self._target(standin.says(standin.answer()))
+        target = await self._start_target(standin.says(standin.answer()))
         self.lease = -math.inf
         self.caller.send(X_Deadline_Ms=60_000)
         while not self.waited:
@@ -431,8 +439,8 @@
         self.assertEqual((await self.caller.reply()).status, 200)
         self.assertEqual(len(target.requests), 1)
 
-    async def test_a_host_that_stops_tells_those_that_wait_for_its_lease(self):
-        """They learn at once that nothing has run, before the process ends."""
+    async def test_a_stopping_host_refuses_requests_that_wait_for_a_lease(self):
+        """Guards against callers that get no answer before the process ends."""
         self.lease = -math.inf
         self.caller.send(X_Deadline_Ms=60_000)
         while not self.waited:
@@ -441,7 +449,7 @@
         async with asyncio.timeout(1.0):
             self.assertEqual((await self.caller.reply()).status, 503)
 
-    async def test_a_caller_that_leaves_ends_its_wait(self):
+    async def test_a_disconnect_ends_the_wait_for_a_lease(self):
         self.lease = -math.inf
         self.caller.send(X_Deadline_Ms=60_000)
         while not self.waited:
@@ -451,18 +459,20 @@
             await asyncio.sleep(0.001)
         self.assertEqual("caller_gone", self.ended[0].reason)
 
-    async def test_only_so_many_wait_for_a_lease(self):
-        """Callers of a long outage would fill the memory."""
+    async def test_the_number_of_requests_that_wait_for_a_lease_is_bounded(
+        self,
+    ):
+        """Guards against memory filled by callers during a long outage."""
         self.lease = -math.inf
         with mock.patch.object(lease_queue, "_MOST_REQUESTS", 0):
             reply = await self.caller.ask(X_Deadline_Ms=60_000)
         self.assertEqual(reply.status, 503)
         self.assertEqual(self.waited, 0)
 
-    async def test_deadlines_that_are_no_time(self):
-        """The caller is served, or refused, but never left without a word."""
+    async def test_invalid_deadlines_are_answered(self):
+        """Guards against requests left unanswered for an invalid deadline."""
         self._route(ONCE)
-        await self._target(*[standin.says(standin.answer())] * 5)
+        await self._start_target(*[standin.says(standin.answer())] * 5)
         for value in ("nan", "inf", "-inf", "1e308", "soon"):
             reply = await self.caller.ask(X_Deadline_Ms=value)
             self.assertEqual(reply.status, 200, value)
@@ -470,8 +480,11 @@
             reply = await self.caller.ask(X_Deadline_Ms=value)
             self.assertIn(reply.status, (503, 504), value)
 
-    async def test_what_no_leader_confirms_is_not_denied(self):
-        """A route or key of a newer configuration must not get 404 or 401."""
+    async def test_unconfirmed_routes_and_keys_are_not_denied(self):
+        """A route or key of a newer configuration must not get 404 or 401.
+
+        No leader confirms that this host's configuration is the newest.
+        """
         team = document_lib.Team(name="band", keys=("k",))
         self._route(ONCE, teams=[team])
         self.confirms = False
@@ -481,41 +494,43 @@
             self.assertIn("Retry-After", reply.headers)
         self.assertEqual(self.questions, 2)
 
-    async def test_a_route_that_the_leader_knows_of_is_served(self):
-        """A request must not be denied by the configuration it came under."""
+    async def test_a_route_of_a_newer_configuration_is_served(self):
+        """Guards against denials by the configuration in force on arrival."""
         self._route(ONCE)
         newer = test_document.document(
             2, routes=[test_document.route("new", prefix="/new/")]
         )
         self.newer = routes_lib.Table(document=newer)
-        await self._target(standin.says(standin.answer()))
+        await self._start_target(standin.says(standin.answer()))
         self.assertEqual((await self.caller.ask(path="/new/")).status, 200)
 
-    async def test_no_route_and_no_configuration_differ(self):
+    async def test_missing_configuration_gets_503_and_missing_route_404(self):
         self.assertEqual((await self.caller.ask()).status, 503)
         self._route(ONCE)
         self.assertEqual((await self.caller.ask(path="/none/")).status, 404)
 
-    async def test_a_stopping_host_takes_nothing_that_it_cannot_finish(self):
-        """A stream that would be cut by the end of the host is refused.
+    async def test_a_stopping_host_refuses_what_it_cannot_finish(self):
+        """Guards against streams that are cut when the process ends.
 
-        It says that nothing has run, and other hosts serve it at once.
+        The refusal states that the request was not run, so that another host
+        can serve it immediately.
         """
         self._route(STREAM)
-        target = await self._target(standin.says(standin.answer()))
+        target = await self._start_target(standin.says(standin.answer()))
         self.refused_kinds.add(document_lib.Kind.STREAM)
         reply = await self.caller.ask()
         self.assertEqual(reply.status, 503)
         self.assertLess(float(reply.headers["Retry-After"]), 0.1)
         self.assertEqual(target.requests, [])
 
-    async def test_keys(self):
-        """The target learns the team's name and never the key.
+    async def test_keys_are_replaced_by_the_team_s_name(self):
+        """Guards against keys, and headers forged by callers, at targets.
 
-        Whatever the caller says of team, target or priority is replaced.
+        The target gets the team's name and never the key. The caller's own
+        team and target headers are replaced.
         """
         self._route(ONCE, (document_lib.Team(name="band", keys=("k",)),))
-        target = await self._target(standin.says(standin.answer()))
+        target = await self._start_target(standin.says(standin.answer()))
         self.assertEqual((await self.caller.ask()).status, 401)
         wrong = await self.caller.ask(Authorization="Bearer other")
         self.assertEqual(wrong.status, 401)
@@ -528,28 +543,28 @@
         self.assertEqual(headers["X-Expect-Target"], "t1")
         self.assertNotIn("Authorization", headers)
 
-    async def test_over_the_rate(self):
-        """The refusal goes out at once and says when to come back."""
+    async def test_a_team_over_its_rate_is_refused(self):
+        """The refusal is immediate and states when to retry."""
         self._route(ONCE, (document_lib.Team(name="b", keys=("k",), rate=1),))
-        target = await self._target(standin.says(standin.answer()))
+        target = await self._start_target(standin.says(standin.answer()))
         self.credit.short = 1.234
         reply = await self.caller.ask(Authorization="Bearer k")
         self.assertEqual(reply.status, 429)
         self.assertEqual(float(reply.headers["Retry-After"]), 1.24)
         self.assertEqual(target.requests, [])
 
-    async def test_credit_of_what_has_not_run_is_given_back(self):
-        """A team does not pay for a request that no target took."""
+    async def test_credit_of_a_request_that_has_not_run_is_refunded(self):
+        """Guards against charges for requests that no target accepted."""
         self._route(ONCE, (document_lib.Team(name="b", keys=("k",), rate=1),))
         refuses = standin.says(standin.answer(503, X_Not_Run="full"))
-        await self._target(refuses)
+        await self._start_target(refuses)
         reply = await self.caller.ask(Authorization="Bearer k")
         self.assertEqual(reply.status, 503)
         self.assertEqual(self.credit.refunded, self.credit.taken)
 
-    async def test_what_is_passed_on_is_what_came(self):
+    async def test_requests_and_answers_are_relayed_unchanged(self):
         self._route(ONCE)
-        target = await self._target(
+        target = await self._start_target(
             standin.says(standin.answer(X_Seal="s1", X_Request_Id="r1"))
         )
         reply = await self.caller.ask(
@@ -562,9 +577,9 @@
         self.assertEqual(request.headers["X-Own"], "v")
         self.assertEqual(request.headers["Host"], "a.example")
 
-    async def test_the_deadline_passed_on_is_what_is_left(self):
+    async def test_the_target_gets_the_remaining_time_as_its_deadline(self):
         self._route(ONCE)
-        target = await self._target(standin.says(standin.answer()))
+        target = await self._start_target(standin.says(standin.answer()))
         await self.caller.ask(X_Deadline_Ms=900)
         self.assertLessEqual(
             int(target.requests[0].headers["X-Deadline-Ms"]), 900
@@ -572,40 +587,44 @@
 
 
 class OnceTest(ForwardTest):
-    async def test_a_lost_answer_is_never_asked_for_again(self):
-        """The caller learns that it may have run; it runs once.
+    async def test_a_request_is_not_sent_again_after_a_lost_answer(self):
+        """Guards against requests that run twice.
 
-        The target reads the request and resets the connection.
+        The target reads the request and resets the connection; the caller is
+        informed that it may have run.
         """
         self._route(ONCE)
-        first = await self._target(standin.resets())
-        second = await self._target(standin.resets())
+        first = await self._start_target(standin.resets())
+        second = await self._start_target(standin.resets())
         reply = await self.caller.ask(body=b"order")
         self.assertEqual(reply.status, 502)
         self.assertEqual(len(first.requests) + len(second.requests), 1)
 
-    async def test_a_proved_refusal_goes_to_another_target(self):
-        """An order is served although the first target is full."""
+    async def test_a_refused_request_is_sent_again(self):
+        """Guards against failures while a target is full.
+
+        The refusal proves that nothing has run.
+        """
         self._route(ONCE)
         refuses = standin.says(standin.answer(503, X_Not_Run="full"))
         takes = standin.says(standin.answer(body=b"done"))
-        await self._target(refuses, takes)
+        await self._start_target(refuses, takes)
         reply = await self.caller.ask()
         self.assertEqual((reply.status, reply.body), (200, b"done"))
 
-    async def test_a_target_that_is_not_there_costs_nothing(self):
-        """No byte has left, so another target gets the order."""
+    async def test_an_unreachable_target_fails_no_request(self):
+        """No byte was sent, so another target gets the request."""
         self._route(ONCE)
-        gone = await standin.Target(standin.hangs).start()
-        self._know("gone", gone.address)
-        await gone.close()
-        await self._target(standin.says(standin.answer()), name="there")
+        unreachable = await standin.Target(standin.hangs).start()
+        self._register("gone", unreachable.address)
+        await unreachable.close()
+        await self._start_target(standin.says(standin.answer()), name="there")
         for _ in range(3):
             self.assertEqual((await self.caller.ask()).status, 200)
 
-    async def test_a_failure_of_the_target_is_passed_on_as_it_is(self):
+    async def test_an_error_answer_is_relayed_unchanged(self):
         self._route(ONCE)
-        target = await self._target(
+        target = await self._start_target(
             standin.says(standin.answer(500, b"why", X_Seal="s1"))
         )
         reply = await self.caller.ask()
@@ -613,43 +632,42 @@
         self.assertEqual(reply.headers["X-Seal"], "s1")
         self.assertEqual(len(target.requests), 1)
 
-    async def test_a_truncated_answer_is_not_passed_on(self):
-        """Nothing that looks like a whole answer reaches the caller."""
+    async def test_a_truncated_answer_is_not_relayed(self):
+        """Guards against truncated answers that appear complete."""
         self._route(ONCE)
-        whole = standin.answer(body=b"a whole answer")
-        await self._target(standin.says(whole[:-4], close=True))
+        complete = standin.answer(body=b"a whole answer")
+        await self._start_target(standin.says(complete[:-4], close=True))
         reply = await self.caller.ask()
         self.assertEqual(reply.status, 502)
 
-    async def test_a_crossed_answer_is_not_passed_on(self):
-        """The caller does not get another request's answer.
-
-        The target sends an answer with another request's id.
-        """
+    async def test_an_answer_with_another_request_s_id_is_not_relayed(self):
+        """Guards against callers that get another request's answer."""
         self._route(ONCE)
-        await self._target(standin.says(standin.answer(X_Request_Id="other")))
+        await self._start_target(
+            standin.says(standin.answer(X_Request_Id="other"))
+        )
         reply = await self.caller.ask(X_Request_Id="mine")
         self.assertEqual(reply.status, 502)
 
-    async def test_an_answer_that_names_no_request_is_not_passed_on(self):
-        """The caller does not get an answer that may be another's.
+    async def test_an_answer_without_a_request_id_is_not_relayed(self):
+        """Guards against callers that get another request's answer.
 
-        The target sends an answer to its last request once more, without an
-        id, where ours is expected.
+        The target repeats the answer to an earlier request, without an id.
         """
         self._route(ONCE)
-        await self._target(standin.says(standin.answer()))
+        await self._start_target(standin.says(standin.answer()))
         reply = await self.caller.ask(X_Request_Id="mine")
         self.assertEqual(reply.status, 502)
 
-    async def test_bytes_after_an_answer_reach_nobody(self):
-        """The next caller on the kept connection gets its own answer.
+    async def test_bytes_after_an_answer_are_discarded(self):
+        """Guards against surplus bytes taken for the next answer.
 
-        The target sends a second answer that nobody asked for.
+        The target sends a second answer without a request; the connection to
+        it is not used again.
         """
         self._route(ONCE)
         extra = standin.answer(body=b"one") + standin.answer(body=b"extra")
-        target = await self._target(
+        target = await self._start_target(
             standin.says(extra), standin.says(standin.answer(body=b"two"))
         )
         self.assertEqual((await self.caller.ask()).body, b"one")
@@ -659,7 +677,7 @@
     async def test_an_answer_without_length_ends_with_its_connection(self):
         self._route(ONCE)
         unframed = b"HTTP/1.1 200 OK\r\n\r\nsome bytes"
-        await self._target(
+        await self._start_target(
             standin.says(unframed, close=True), standin.resets(unframed)
         )
         reply = await self.caller.ask()
@@ -667,36 +685,38 @@
         self.assertTrue(reply.whole)
         self.assertEqual((await self.caller.ask()).status, 502)
 
-    async def test_bytes_that_are_no_answer(self):
+    async def test_an_invalid_answer_gets_502(self):
         self._route(ONCE)
-        await self._target(standin.says(b"\x00\x01rubbish\r\n\r\n", close=True))
+        await self._start_target(
+            standin.says(b"\x00\x01rubbish\r\n\r\n", close=True)
+        )
         self.assertEqual((await self.caller.ask()).status, 502)
 
-    async def test_an_answer_before_the_body_was_read(self):
-        """A large request that is refused early does not hang.
+    async def test_an_answer_before_the_body_was_read_is_relayed(self):
+        """Guards against a hang when a large request is refused early.
 
-        The target answers before it has read the body; the connection is not
-        used again, for the rest of the body would be read as a request.
+        The target answers before it has read the body. The connection is not
+        used again: the rest of the body would be read as a request.
         """
         self._route(ONCE)
 
         async def early(request, writer):
             writer.write(standin.answer(413, b"too long"))
 
-        target = await self._target(early)
+        target = await self._start_target(early)
         reply = await self.caller.ask(body=b"x" * 300_000)
         self.assertEqual((reply.status, reply.body), (413, b"too long"))
         self.assertEqual(len(target.requests), 1)
 
-    async def test_the_route_s_timeout_ends_it_at_once(self):
+    async def test_the_route_s_timeout_ends_a_request(self):
         self._route(test_document.route(timeout=0.2))
-        await self._target(standin.hangs)
+        await self._start_target(standin.hangs)
         self.assertEqual((await self.caller.ask()).status, 504)
 
-    async def test_a_caller_who_leaves_ends_the_work(self):
-        """No target goes on for a caller who is not there any more."""
+    async def test_a_disconnect_ends_the_attempt(self):
+        """Guards against targets that work for a disconnected caller."""
         self._route(ONCE)
-        target = await self._target(standin.hangs)
+        target = await self._start_target(standin.hangs)
         self.caller.send()
         while not target.requests:
             await asyncio.sleep(0.001)
@@ -706,16 +726,16 @@
 
 
 class IdempotentTest(ForwardTest):
-    async def test_a_failure_is_tried_elsewhere_once(self):
+    async def test_a_failed_request_is_sent_to_one_other_target(self):
         self._route(IDEMPOTENT)
         for _ in range(3):
-            await self._target(standin.says(standin.answer(500, b"no")))
+            await self._start_target(standin.says(standin.answer(500, b"no")))
         reply = await self.caller.ask()
         self.assertEqual((reply.status, reply.body), (500, b"no"))
         sent = [len(t.requests) for t in self.targets]
         self.assertEqual(sorted(sent), [0, 1, 1])
 
-    async def test_a_broken_answer_is_asked_for_elsewhere(self):
+    async def test_a_request_is_sent_again_after_a_broken_answer(self):
         self._route(IDEMPOTENT)
         calls = []
 
@@ -726,12 +746,12 @@
             else:
                 writer.write(standin.answer(body=b"fine"))
 
-        await self._target(first_breaks)
-        await self._target(first_breaks)
+        await self._start_target(first_breaks)
+        await self._start_target(first_breaks)
         self.assertEqual((await self.caller.ask()).body, b"fine")
 
-    async def test_a_hanging_target_is_passed_over(self):
-        """The answer comes although one target never answers."""
+    async def test_a_request_at_a_hanging_target_is_sent_to_another(self):
+        """Guards against requests that wait for a target that never answers."""
         route = test_document.route(
             kind=document_lib.Kind.IDEMPOTENT,
             attempts=2,
@@ -747,18 +767,21 @@
                 await standin.hangs(request, writer)
             writer.write(standin.answer(body=b"fine"))
 
-        await self._target(first_hangs)
-        await self._target(first_hangs)
+        await self._start_target(first_hangs)
+        await self._start_target(first_hangs)
         self.assertEqual((await self.caller.ask()).body, b"fine")
 
-    async def test_without_budget_nothing_is_repeated(self):
-        """Repeats do not multiply the load while targets fail for all."""
+    async def test_without_repeat_budget_nothing_is_sent_again(self):
+        """Guards against repeats that multiply the load.
+
+        All targets fail for all requests, and the budget is empty.
+        """
         self._route(IDEMPOTENT)
         self.repeats = repeats_lib.RepeatBudget(
             ratio=0.0, window=10.0, slack=0.0, now=clock.now()
         )
         for _ in range(2):
-            await self._target(standin.resets())
+            await self._start_target(standin.resets())
         self.assertEqual((await self.caller.ask()).status, 502)
         self.assertEqual(sum(len(t.requests) for t in self.targets), 1)
 
@@ -770,18 +793,21 @@
         )
         self.grants_repeat = True
         for _ in range(2):
-            await self._target(standin.resets())
+            await self._start_target(standin.resets())
         self.assertEqual((await self.caller.ask()).status, 502)
         self.assertEqual(sum(len(t.requests) for t in self.targets), 2)
-        self.assertEqual(self.repeat_asks, 1)
+        self.assertEqual(self.repeat_requests, 1)
 
 
 class StreamTest(ForwardTest):
     def _events(self, first, last):
         return [standin.chunk(standin.event(n)) for n in range(first, last + 1)]
 
-    async def test_events_are_passed_on_as_they_come(self):
-        """The first event is there before the second is made."""
+    async def test_events_are_relayed_as_they_arrive(self):
+        """Guards against buffered streams.
+
+        The first event arrives before the target makes the second.
+        """
         self._route(STREAM)
         go = asyncio.Event()
 
@@ -790,7 +816,7 @@
             await go.wait()
             writer.write(self._events(2, 2)[0] + standin.END)
 
-        await self._target(script)
+        await self._start_target(script)
         self.caller.send()
         await standin.read_head(self.caller.reader)
         async with asyncio.timeout(10):
@@ -798,19 +824,19 @@
             go.set()
             await self.caller.reader.readuntil(b"0\r\n\r\n")
 
-    def _breaks(self, *parts):
-        """A script that breaks off once the caller has had its events."""
+    def _breaking_script(self, *parts):
+        """Returns a script that breaks off once the caller has two events."""
 
         async def script(request, writer):
             for part in parts:
                 writer.write(part)
-            await self.had_two.wait()
+            await self.two_events_received.wait()
             writer.close()
 
         return script
 
-    async def _two_events(self):
-        """Reads what the first target sends, and lets it break off."""
+    async def _read_two_events(self):
+        """Reads two events from the first target, then lets it break off."""
         self.caller.send()
         head = await standin.read_head(self.caller.reader)
         body = b""
@@ -820,59 +846,65 @@
         for target in self.targets:
             if not target.requests:
                 target._scripts = [self.second]
-        self.had_two.set()
-        rest, whole = await self.caller._body({"Transfer-Encoding": "chunked"})
-        return head[1], body + rest, whole
+        self.two_events_received.set()
+        rest, is_complete = await self.caller._body(
+            {"Transfer-Encoding": "chunked"}
+        )
+        return head[1], body + rest, is_complete
 
-    async def _two_targets(self, *parts):
-        self.had_two = asyncio.Event()
+    async def _start_two_targets(self, *parts):
+        self.two_events_received = asyncio.Event()
         for _ in range(2):
-            await self._target(self._breaks(*parts))
+            await self._start_target(self._breaking_script(*parts))
 
-    async def test_a_broken_stream_does_not_look_whole(self):
+    async def test_a_broken_stream_does_not_appear_complete(self):
         self._route(STREAM)
-        await self._two_targets(standin.stream_head(), *self._events(1, 2))
+        await self._start_two_targets(
+            standin.stream_head(), *self._events(1, 2)
+        )
         self.second = standin.hangs
-        _, body, whole = await self._two_events()
+        _, body, is_complete = await self._read_two_events()
         self.assertEqual(body, standin.event(1) + standin.event(2))
-        self.assertFalse(whole)
+        self.assertFalse(is_complete)
         self.assertEqual(sum(len(t.requests) for t in self.targets), 1)
 
-    async def test_a_resumable_stream_goes_on_elsewhere(self):
-        """The caller sees every event once and the headers of the first.
+    async def test_a_resumable_stream_resumes_on_another_target(self):
+        """Guards against lost or repeated events.
 
-        The first target breaks off in the middle of event 3; the second is
-        asked for what follows event 2.
+        The first target breaks off in the middle of event 3; the second gets
+        a request for the events after 2. The caller gets the first headers.
         """
         self._route(RESUMABLE)
         half = standin.chunk(standin.event(3)[:9])
         head = standin.stream_head(X_Seal="first")
-        await self._two_targets(head, *self._events(1, 2), half)
-        asked = []
+        await self._start_two_targets(head, *self._events(1, 2), half)
+        last_event_ids = []
 
         async def second(request, writer):
-            asked.append(request.headers.get("Last-Event-Id"))
+            last_event_ids.append(request.headers.get("Last-Event-Id"))
             head = standin.stream_head(X_Seal="second")
             writer.write(head + b"".join(self._events(3, 4)) + standin.END)
 
         self.second = second
-        headers, body, whole = await self._two_events()
-        self.assertEqual(asked, ["2"])
+        headers, body, is_complete = await self._read_two_events()
+        self.assertEqual(last_event_ids, ["2"])
         expected = b"".join(standin.event(n) for n in range(1, 5))
         self.assertEqual(body, expected)
-        self.assertTrue(whole)
+        self.assertTrue(is_complete)
         self.assertEqual(headers["X-Seal"], "first")
 
-    async def test_a_failure_is_no_part_of_a_stream(self):
-        """The second target's error page does not end up among events."""
+    async def test_an_error_answer_does_not_become_part_of_a_stream(self):
+        """Guards against the second target's error page among the events."""
         self._route(RESUMABLE)
-        await self._two_targets(standin.stream_head(), *self._events(1, 2))
+        await self._start_two_targets(
+            standin.stream_head(), *self._events(1, 2)
+        )
         self.second = standin.says(standin.answer(500, b"error page"))
-        _, body, whole = await self._two_events()
+        _, body, is_complete = await self._read_two_events()
         self.assertEqual(body, b"".join(map(standin.event, (1, 2))))
-        self.assertFalse(whole)
+        self.assertFalse(is_complete)
 
-    async def test_a_stream_that_lasts_too_long_is_ended(self):
+    async def test_a_stream_is_ended_at_its_timeout(self):
         route = test_document.route(kind=document_lib.Kind.STREAM, timeout=0.2)
         self._route(route)
 
@@ -880,7 +912,7 @@
             writer.write(standin.stream_head() + self._events(1, 1)[0])
             await asyncio.Event().wait()
 
-        await self._target(script)
+        await self._start_target(script)
         reply = await self.caller.ask()
         self.assertFalse(reply.whole)
 
@@ -899,14 +931,14 @@
         self._route(route, engine=engine)
 
     async def test_a_request_waits_for_its_model(self):
-        """It is served although no target holds its model when it comes."""
+        """Guards against refusals when no target holds the model on arrival."""
         self._serve_model()
-        target = await self._target(standin.says(standin.answer()))
+        target = await self._start_target(standin.says(standin.answer()))
         self.caller.send(X_Model="m")
         while not self.missed:
             await asyncio.sleep(0.001)
         loaded = (registry_lib.Loaded("m"),)
-        said = registry_lib.Registration(
+        registration = registry_lib.Registration(
             name="t1",
             service="desk",
             address=target.address,
@@ -915,18 +947,18 @@
             number=2,
             loaded=loaded,
         )
-        self.view.set_targets([site_messages.Target(said=said)], [])
+        self.view.set_targets([site_messages.Target(said=registration)], [])
         self.assertEqual((await self.caller.reply()).status, 200)
 
     async def test_a_waiting_request_is_refused_when_its_host_stops(self):
-        """A caller gets an answer before the process ends.
+        """Guards against callers that get no answer before the process ends.
 
-        Its request waits for a model; the host is asked to stop and comes to
-        the point from which on it could not finish it. It says that nothing
-        has run, and another host takes it.
+        The request waits for a model when the stopping host can no longer
+        finish it. The refusal states that the request was not run, so that
+        another host can serve it.
         """
         self._serve_model(objective=30.0)
-        target = await self._target(standin.says(standin.answer()))
+        target = await self._start_target(standin.says(standin.answer()))
         self.caller.send(X_Model="m")
         while not self.missed:
             await asyncio.sleep(0.001)
@@ -937,44 +969,44 @@
         self.assertLess(float(reply.headers["Retry-After"]), 0.1)
         self.assertEqual(target.requests, [])
 
-    async def test_a_model_that_does_not_come_is_refused_as_not_run(self):
+    async def test_a_request_for_a_model_that_is_not_loaded_is_refused(self):
         self._serve_model(objective=0.05)
-        target = await self._target(standin.says(standin.answer()))
+        target = await self._start_target(standin.says(standin.answer()))
         reply = await self.caller.ask(X_Model="m", X_Deadline_Ms=400)
         self.assertEqual(reply.status, 503)
         self.assertIn("Retry-After", reply.headers)
         self.assertEqual(target.requests, [])
 
-    async def test_a_target_that_lacks_the_model_is_not_asked_twice(self):
-        """A stale table costs one refusal, not one after the other."""
+    async def test_a_target_that_lacks_the_model_gets_one_request(self):
+        """Guards against repeated refusals because of a stale table."""
         self._serve_model(objective=0.05)
         loaded = (registry_lib.Loaded("m"),)
-        target = await self._target(
+        target = await self._start_target(
             standin.says(standin.answer(421)), loaded=loaded
         )
         reply = await self.caller.ask(X_Model="m", X_Deadline_Ms=400)
         self.assertEqual(reply.status, 503)
         self.assertEqual(len(target.requests), 1)
 
-    async def test_a_model_on_its_way_tells_when_to_come_back(self):
-        """The caller is not held until he leaves, and comes back in time.
+    async def test_a_refusal_states_when_the_model_will_be_loaded(self):
+        """Guards against callers that wait in vain and retry too early.
 
-        His model is being loaded and will be there in 50 s; he waits for 9.
+        The model will be loaded in 50 s; the caller's deadline is 9 s.
         """
         self._serve_model()
         coming = (site_messages.Coming("m", 50.0),)
-        await self._target(standin.says(standin.answer()), coming=coming)
+        await self._start_target(standin.says(standin.answer()), coming=coming)
         reply = await self.caller.ask(X_Model="m", X_Deadline_Ms=9000)
         self.assertEqual(reply.status, 503)
         self.assertAlmostEqual(
             50.0, float(reply.headers["Retry-After"]), delta=5.0
         )
 
-    async def test_a_prompt_waits_for_its_turn(self):
-        """The engine's owner decides when it gets the prompt."""
+    async def test_a_prompt_waits_for_its_prefill_turn(self):
+        """The engine's turn owner decides when it gets the prompt."""
         self._serve_model(objective=2.0)
         loaded = (registry_lib.Loaded("m"),)
-        target = await self._target(
+        target = await self._start_target(
             standin.says(standin.answer()), loaded=loaded
         )
         self.turn_seconds = 0.01
@@ -983,11 +1015,11 @@
         self.assertEqual([t[:2] for t in self.turns], [("t1", 1460.0)])
         self.assertEqual(len(target.requests), 1)
 
-    async def test_a_turn_that_comes_too_late_is_not_waited_for(self):
-        """The caller gets its answer, though the owner says an hour."""
+    async def test_the_wait_for_a_prefill_turn_is_bounded(self):
+        """Guards against callers that wait for a turn an hour away."""
         self._serve_model(objective=0.05)
         loaded = (registry_lib.Loaded("m"),)
-        await self._target(standin.says(standin.answer()), loaded=loaded)
+        await self._start_target(standin.says(standin.answer()), loaded=loaded)
         self.turn_seconds = 3600.0
         reply = await self.caller.ask(X_Model="m", X_Tokens="1460,80")
         self.assertEqual(reply.status, 200)
