--- a/packages/endivestream/src/endivestream/request/scheduler.py
+++ b/packages/endivestream/src/endivestream/request/scheduler.py
@@ -1,10 +1,10 @@
-"""Who runs next, and where: fair queues over bounded targets. Pure.
+"""Weighted fair queueing of requests over targets with bounded slots. Pure.
 
 One scheduler serves one pool of targets. Each target gets a bounded number of
-requests at once, so that the queue stays here, where its order can still
-change. Teams are served by virtual tokens (weighted fair queueing): the team
-that has had the least work for its weight goes first, and a team's request
-that waits for one model never holds up another's.
+concurrent requests, so that the backlog is queued here, where its order can
+still change. Teams are ordered by virtual tokens (weighted fair queueing): the
+team with the least work granted relative to its weight goes first. Requests of
+a team that wait for one model do not block its requests for other models.
 """
 
 from __future__ import annotations
@@ -18,21 +18,22 @@
 from endivestream.request import outliers
 from endivestream.request import prefixes
 
-# A target may hold this much more than the mean before affinity ends.
-_BOUNDED_LOAD = 1.25
-_BLOCK_TOKENS = prefixes.BLOCK_BYTES // 4
+# A target that holds more grants than this multiple of the mean loses its
+# prefix affinity.
+_AFFINITY_LOAD_RATIO = 1.25
+_TOKENS_PER_BLOCK = prefixes.BLOCK_BYTES // 4
 
 
 class Ask(NamedTuple):
-    """A request for a place on a target.
+    """A request for a slot on a target.
 
     Attributes:
-        request: Unique per attempt.
-        team: Whose virtual tokens pay.
+        request: Id, unique per attempt.
+        team: Team whose virtual tokens are charged.
         weight: The team's weight.
         needs: What the target must serve: a model or `service:NAME`.
         tokens: Expected work, in tokens.
-        deadline: Latest time of use, in seconds.
+        deadline: Time after which a grant is of no use, in seconds.
         avoid: Targets tried before.
         blocks: Names of the prompt's blocks; see `prefixes`.
     """
@@ -48,12 +49,12 @@
 
 
 class Grant(NamedTuple):
-    """A place on a target.
+    """A granted slot on a target.
 
     Attributes:
-        request: The ask's request.
+        request: Id from the `Ask`.
         target: The target's name.
-        reason: Why this target, for the log line.
+        reason: Why this target was chosen, for the log.
         waited: Seconds in the queue.
     """
 
@@ -69,8 +70,8 @@
     Attributes:
         name: Its name.
         serves: Models, adapters' models and services it can run now.
-        slots: Requests it may hold at once.
-        queued_tokens: Its reported backlog, in tokens.
+        slots: Maximum concurrent requests.
+        queued_tokens: Backlog that it reported, in tokens.
     """
 
     name: str
@@ -81,25 +82,25 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NoTarget:
-    """Nothing live serves this."""
+    """No available target serves what is needed."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Queued:
-    """The ask waits for a place."""
+    """The request waits for a free slot."""
 
 
-class _Waiting(NamedTuple):
+class _QueuedAsk(NamedTuple):
     ask: Ask
     since: float
 
 
-class _Team:
-    """A team's queues, one per need, and its virtual tokens."""
+class _TeamQueues:
+    """A team's queues, one per model or service, and its virtual tokens."""
 
     def __init__(self) -> None:
-        self.virtual = 0.0
-        self.queues: dict[str, collections.deque[_Waiting]] = {}
+        self.virtual_tokens = 0.0
+        self.queues: dict[str, collections.deque[_QueuedAsk]] = {}
 
     @property
     def active(self) -> bool:
@@ -107,26 +108,26 @@
 
 
 class Scheduler:
-    """The queue of one pool. Times are seconds of a steady clock."""
+    """Scheduler of one pool. Times are seconds of a monotonic clock."""
 
     def __init__(self) -> None:
         self._targets: dict[str, Target] = {}
         self._held: dict[str, dict[str, Ask]] = {}
-        self._teams: dict[str, _Team] = {}
-        self._where: dict[str, str] = {}
-        self._queued: set[str] = set()
+        self._teams: dict[str, _TeamQueues] = {}
+        self._granted_targets: dict[str, str] = {}
+        self._queued_requests: set[str] = set()
         self._prefixes = prefixes.Prefixes()
         self._outliers = outliers.Outliers()
-        self._floor = 0.0
+        self._virtual_token_floor = 0.0
 
     @property
     def targets(self) -> Mapping[str, Target]:
-        """The targets that may get work, by name."""
+        """Targets that may get new requests, by name."""
         return self._targets
 
     @property
     def waiting(self) -> int:
-        """How many asks wait."""
+        """Number of queued requests."""
         return sum(
             len(queue)
             for team in self._teams.values()
@@ -134,119 +135,127 @@
         )
 
     def held(self, target: str) -> int:
-        """Returns how many grants a target holds."""
+        """Returns the number of slots in use on a target."""
         return len(self._held.get(target, ()))
 
     def __repr__(self) -> str:
         return (
             f"<Scheduler: {len(self._targets)} targets, "
-            f"{len(self._where)} running, {self.waiting} waiting>"
+            f"{len(self._granted_targets)} running, {self.waiting} waiting>"
         )
 
     def put_target(self, target: Target) -> None:
-        """Lets a target get work, or notes what changed of it."""
+        """Adds a target, or replaces its record."""
         self._targets[target.name] = target
 
     def drop_target(self, name: str) -> None:
-        """Gives a target no new work.
+        """Stops granting slots on a target.
 
-        Grants on it stay counted until they are released: it may come back
-        while they still run.
+        Its grants stay counted until they are released: the target may be
+        added again while they still run.
         """
         self._targets.pop(name, None)
 
     def serves(self, needs: str, avoid: Collection[str] = ()) -> bool:
-        """Tells whether any target can run this."""
+        """Returns whether any target outside `avoid` serves `needs`."""
         return any(
             needs in target.serves and target.name not in avoid
             for target in self._targets.values()
         )
 
     def ask(self, ask: Ask, *, now: float) -> Grant | Queued | NoTarget:
-        """Asks for a place; a queued ask is granted by `ready` later.
+        """Requests a slot; a queued request is granted by `ready` later.
 
-        Idempotent: asked again, as after a lost link, it is the same ask.
+        Idempotent: a request that is sent again, as after a lost connection,
+        keeps its slot or its position in the queue.
         """
-        held = self._where.get(ask.request)
-        if held is not None:
-            return Grant(ask.request, held, "asked_again", 0.0)
-        if ask.request in self._queued:
+        granted_target = self._granted_targets.get(ask.request)
+        if granted_target is not None:
+            return Grant(ask.request, granted_target, "asked_again", 0.0)
+        if ask.request in self._queued_requests:
             return Queued()
         if not self.serves(ask.needs, ask.avoid):
             return NoTarget()
-        team = self._team(ask.team)
+        team = self._activate_team(ask.team)
         if not team.queues.get(ask.needs):
             target = self._best(ask, now)
             if target is not None:
                 return self._grant(ask, target, now, waited=0.0)
         queue = team.queues.setdefault(ask.needs, collections.deque())
-        queue.append(_Waiting(ask, now))
-        self._queued.add(ask.request)
+        queue.append(_QueuedAsk(ask, now))
+        self._queued_requests.add(ask.request)
         return Queued()
 
-    def _team(self, name: str) -> _Team:
-        team = self._teams.setdefault(name, _Team())
+    def _activate_team(self, name: str) -> _TeamQueues:
+        team = self._teams.setdefault(name, _TeamQueues())
         if not team.active:
-            # A team that was away starts at the smallest active counter:
-            # credit for idle time would let it push all others aside.
-            active = [t.virtual for t in self._teams.values() if t.active]
-            self._floor = max(self._floor, min(active, default=self._floor))
-            team.virtual = max(team.virtual, self._floor)
+            # A team that was idle starts at the smallest active counter:
+            # credit for idle time would let it starve all others.
+            active = [
+                t.virtual_tokens for t in self._teams.values() if t.active
+            ]
+            self._virtual_token_floor = max(
+                self._virtual_token_floor,
+                min(active, default=self._virtual_token_floor),
+            )
+            team.virtual_tokens = max(
+                team.virtual_tokens, self._virtual_token_floor
+            )
         return team
 
     def _best(self, ask: Ask, now: float) -> Target | None:
-        """Returns the target with the least expected time to a first token."""
-        fitting = [
+        """Returns the target with the lowest expected time to first token."""
+        eligible = [
             target
             for target in self._targets.values()
             if ask.needs in target.serves
             and target.name not in ask.avoid
             and self.held(target.name) < target.slots
         ]
-        # With every target ejected a bad one is better than none.
-        sound = [t for t in fitting if self._outliers.may_get(t.name, now)]
-        fitting = sound or fitting
-        if not fitting:
+        # If all targets are ejected, an ejected one is used.
+        healthy = [t for t in eligible if self._outliers.may_get(t.name, now)]
+        eligible = healthy or eligible
+        if not eligible:
             return None
-        bound = self._bound(ask.needs)
+        affinity_bound = self._affinity_bound(ask.needs)
         return min(
-            fitting,
+            eligible,
             key=lambda t: (
-                # Affinity may not overload a target: above the bound it goes
-                # after all others, however much it has read.
-                self.held(t.name) >= bound,
+                # Prefix affinity may not overload a target: above the bound
+                # it ranks after all others, however much it has cached.
+                self.held(t.name) >= affinity_bound,
                 self._load(t) + self._unread(t, ask),
                 t.name,
             ),
         )
 
-    def _bound(self, needs: str) -> float:
-        """Returns the grants a target may hold while others hold less."""
+    def _affinity_bound(self, needs: str) -> float:
+        """Returns the grants at which a target loses its prefix affinity."""
         serving = [t for t in self._targets.values() if needs in t.serves]
-        held = sum(self.held(target.name) for target in serving)
-        return 1 + _BOUNDED_LOAD * held / len(serving)
+        grants = sum(self.held(target.name) for target in serving)
+        return 1 + _AFFINITY_LOAD_RATIO * grants / len(serving)
 
     def _unread(self, target: Target, ask: Ask) -> float:
-        """Prompt tokens that a target probably has to read first."""
+        """Returns the prompt tokens that are probably not in its cache."""
         if not ask.blocks:
             return 0.0
-        read = self._prefixes.covered(target.name, ask.blocks)
-        return (len(ask.blocks) - read) * _BLOCK_TOKENS
+        cached_blocks = self._prefixes.covered(target.name, ask.blocks)
+        return (len(ask.blocks) - cached_blocks) * _TOKENS_PER_BLOCK
 
     def _load(self, target: Target) -> float:
-        """Expected work before a newcomer's first token, in tokens a slot."""
-        granted = sum(
+        """Returns the work ahead of a new request, in tokens per slot."""
+        granted_tokens = sum(
             ask.tokens for ask in self._held.get(target.name, {}).values()
         )
-        return max(granted, target.queued_tokens) / target.slots
+        return max(granted_tokens, target.queued_tokens) / target.slots
 
     def _grant(
         self, ask: Ask, target: Target, now: float, *, waited: float
     ) -> Grant:
-        self._queued.discard(ask.request)
+        self._queued_requests.discard(ask.request)
         self._held.setdefault(target.name, {})[ask.request] = ask
-        self._where[ask.request] = target.name
-        self._teams[ask.team].virtual += ask.tokens / ask.weight
+        self._granted_targets[ask.request] = target.name
+        self._teams[ask.team].virtual_tokens += ask.tokens / ask.weight
         reason = "queue" if waited else "least_loaded"
         if self._prefixes.covered(target.name, ask.blocks):
             reason = "prefix_hit"
@@ -255,30 +264,30 @@
         return Grant(ask.request, target.name, reason, waited)
 
     def ready(self, now: float) -> list[Grant]:
-        """Grants what fits now, the team with the least work first."""
+        """Grants free slots, to teams in order of their virtual tokens."""
         grants = []
         while True:
-            grant = self._next(now)
+            grant = self._grant_next(now)
             if grant is None:
                 return grants
             grants.append(grant)
 
-    def _next(self, now: float) -> Grant | None:
-        active = sorted(
-            (team.virtual, name)
+    def _grant_next(self, now: float) -> Grant | None:
+        active_teams = sorted(
+            (team.virtual_tokens, name)
             for name, team in self._teams.items()
             if team.active
         )
-        for _, name in active:
+        for _, name in active_teams:
             queues = self._teams[name].queues
-            # Within a team the oldest ask that fits goes first; one whose
-            # model is busy does not hold up the team's other models.
-            heads = sorted(
+            # Within a team the oldest request with a free target goes first;
+            # one whose model is busy does not block the team's other models.
+            queue_heads = sorted(
                 (queue[0].since, needs)
                 for needs, queue in queues.items()
                 if queue
             )
-            for since, needs in heads:
+            for since, needs in queue_heads:
                 ask = queues[needs][0].ask
                 target = self._best(ask, now)
                 if target is not None:
@@ -287,34 +296,34 @@
         return None
 
     def expire(self, now: float) -> list[Ask]:
-        """Takes out asks that can no longer be served: late or targetless."""
-        gone = []
+        """Removes queued requests that are late or that no target serves."""
+        expired = []
         for team in self._teams.values():
             for needs, queue in team.queues.items():
-                kept = collections.deque()
+                remaining = collections.deque()
                 for waiting in queue:
                     ask = waiting.ask
-                    late = ask.deadline <= now
-                    if late or not self.serves(needs, ask.avoid):
-                        gone.append(ask)
-                        self._queued.discard(ask.request)
+                    is_late = ask.deadline <= now
+                    if is_late or not self.serves(needs, ask.avoid):
+                        expired.append(ask)
+                        self._queued_requests.discard(ask.request)
                     else:
-                        kept.append(waiting)
-                team.queues[needs] = kept
-        return gone
+                        remaining.append(waiting)
+                team.queues[needs] = remaining
+        return expired
 
     def forget(self, target: str) -> None:
-        """Drops what is known of a target that started anew."""
+        """Discards cache hints and failures of a target that restarted."""
         self._prefixes.forget(target)
         self._outliers.forget(target)
 
     def ended(self, request: str, *, failed: bool, now: float) -> str:
-        """Notes how a granted request ended, before its release.
+        """Records the outcome of a granted request, before its release.
 
         Returns:
-            The target if it is ejected by this, else an empty string.
+            The target if this outcome ejects it, else an empty string.
         """
-        target = self._where.get(request, "")
+        target = self._granted_targets.get(request, "")
         if target and self._outliers.ended(
             target, failed=failed, now=now, of=len(self._targets)
         ):
@@ -322,22 +331,22 @@
         return ""
 
     def release(self, request: str, *, tokens: int | None = None) -> None:
-        """Frees a place, or takes the ask out of the queue. Idempotent.
+        """Frees a slot, or removes the request from the queue. Idempotent.
 
         Args:
-            request: The ask's request.
-            tokens: What it really cost; corrects the team's virtual tokens.
+            request: Id from the `Ask`.
+            tokens: Actual cost; corrects the team's virtual tokens.
         """
-        target = self._where.pop(request, None)
+        target = self._granted_targets.pop(request, None)
         if target is not None:
             ask = self._held[target].pop(request)
             if tokens is not None:
                 team = self._teams[ask.team]
-                team.virtual += (tokens - ask.tokens) / ask.weight
+                team.virtual_tokens += (tokens - ask.tokens) / ask.weight
             return
-        if request not in self._queued:
+        if request not in self._queued_requests:
             return
-        self._queued.discard(request)
+        self._queued_requests.discard(request)
         for team in self._teams.values():
             for queue in team.queues.values():
                 for waiting in queue:
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -21,52 +21,55 @@
         self.scheduler.put_target(_target("t1"))
 
     def _run(self, rounds, asks):
-        """Gives the one place to the next, in turn; counts teams served."""
+        """Releases the only slot repeatedly; returns the teams served."""
         for ask in asks:
             self.scheduler.ask(ask, now=0.0)
         served = []
         for _ in range(rounds):
-            held = next(iter(self.scheduler._held["t1"].values()))
-            served.append(held.team)
-            self.scheduler.release(held.request)
+            granted_ask = next(iter(self.scheduler._held["t1"].values()))
+            served.append(granted_ask.team)
+            self.scheduler.release(granted_ask.request)
             self.scheduler.ready(1.0)
         return served
 
-    def test_short_question_passes_a_conservatory_backlog(self):
-        """The apprentice is served second, not after forty others.
+    def test_short_request_overtakes_the_backlog_of_another_team(self):
+        """Guards against a team that waits behind another team's backlog.
 
-        The conservatory filled the queue before the apprentice asked.
+        One team queues 40 large requests, then another team a short one.
         """
         asks = [_ask(f"c{n}", "conservatory", tokens=500) for n in range(40)]
         asks.append(_ask("q", "apprentice", tokens=20))
         served = self._run(3, asks)
         self.assertIn("apprentice", served[:2])
 
-    def test_weights_share_the_work(self):
+    def test_work_is_shared_in_proportion_to_weights(self):
         asks = [_ask(f"a{n}", "a", weight=3) for n in range(40)]
         asks += [_ask(f"b{n}", "b", weight=1) for n in range(40)]
         served = self._run(40, asks)
         self.assertAlmostEqual(served.count("a"), 30, delta=2)
 
-    def test_model_without_a_place_holds_up_no_other(self):
-        """A team's question for a free model runs beside its queued ones."""
+    def test_queued_requests_for_a_model_do_not_block_another_model(self):
+        """Guards against head-of-line blocking within a team.
+
+        Its requests for one model are queued; another model has a free slot.
+        """
         self.scheduler.put_target(_target("t2", serves=("other",)))
         self.scheduler.ask(_ask("1"), now=0)
         self.scheduler.ask(_ask("2"), now=0)
         grant = self.scheduler.ask(_ask("3", needs="other"), now=0)
         self.assertEqual(grant.target, "t2")
 
-    def test_newcomer_has_no_credit_for_its_absence(self):
+    def test_idle_team_earns_no_credit(self):
         self._run(20, [_ask(f"a{n}", "a") for n in range(30)])
         asks = [_ask(f"b{n}", "b") for n in range(10)]
         served = self._run(8, asks)
         self.assertLessEqual(served.count("b"), 5)
 
-    def test_avoided_target_is_not_given(self):
+    def test_avoided_target_is_not_granted(self):
         answer = self.scheduler.ask(_ask("1", avoid=("t1",)), now=0)
         self.assertIsInstance(answer, scheduler_lib.NoTarget)
 
-    def test_release_is_idempotent_and_frees_queued_asks(self):
+    def test_release_is_idempotent_and_removes_queued_requests(self):
         self.scheduler.ask(_ask("1"), now=0)
         self.scheduler.ask(_ask("2"), now=0)
         self.scheduler.release("2")
@@ -75,11 +78,11 @@
         self.assertEqual(self.scheduler.ready(0), [])
         self.assertEqual(self.scheduler.held("t1"), 0)
 
-    def test_asked_again_is_the_same_ask(self):
-        """No place is lost to a resend.
+    def test_resent_request_takes_no_second_slot(self):
+        """Guards against slots leaked by a resend.
 
-        The answer to the first send was lost with its link; the gateway asks
-        the same again, while it holds a place and while it waits.
+        The answer to the first send is lost with its connection; the gateway
+        sends the same request again, while it holds a slot and while it waits.
         """
         first = self.scheduler.ask(_ask("1"), now=0)
         self.scheduler.put_target(_target("t0"))
@@ -95,13 +98,15 @@
         self.scheduler.release("2")
         self.assertEqual(self.scheduler.held("t1"), 0)
 
-    def test_late_and_targetless_asks_expire(self):
+    def test_requests_past_their_deadline_expire(self):
         self.scheduler.ask(_ask("1"), now=0)
         self.scheduler.ask(_ask("2"), now=0)
         self.assertEqual(self.scheduler.expire(99.0), [])
-        (gone,) = self.scheduler.expire(100.0)
-        self.assertEqual(gone.request, "2")
+        (expired,) = self.scheduler.expire(100.0)
+        self.assertEqual(expired.request, "2")
 
+    # Guards against a backlogged team that falls behind another. Both teams
+    # always have requests queued; granted work counts in full until corrected.
     @hypothesis.given(
         st.lists(st.integers(1, 500), min_size=30, max_size=80),
         st.integers(1, 4),
@@ -143,6 +148,8 @@
             # The first grants were made before both teams had asked.
             self.assertLessEqual(gap, (slots + 1) * max(sizes))
 
+    # Guards against overcommitted targets, and against free slots that stay
+    # unused while requests wait.
     @hypothesis.given(st.data())
     def test_never_more_than_the_slots_and_none_left_waiting(self, data):
         """No target gets more than it takes; no place stays empty."""
