--- a/packages/endivestream/src/endivestream/request/rate_limits.py
+++ b/packages/endivestream/src/endivestream/request/rate_limits.py
@@ -1,9 +1,9 @@
-"""How many requests a second targets say they take from all hosts. Pure.
+"""Rate limits that targets report, for all hosts together. Pure.
 
-A target in need names its limit in its answers, for as long as it applies. An
-answer without one ends it. Each host learns from its own answers and from
-others; of what is known of one start of a target, the newest holds, whatever
-the order in which it arrives. Times are seconds.
+An overloaded target reports its limit, in requests a second, in each answer
+for as long as it applies; an answer without one ends it. Each host gets limits
+from its own answers and from other hosts. Of the reports about one start of a
+target the newest holds, whatever the order of arrival. Times are seconds.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
 
 from endivestream import site_messages
 
-# A limit that has ended is remembered for so long, so that older word of it
-# does not bring it back.
-_REMEMBER_SECONDS = 60.0
-# Digits and sign of a number that a target may send.
-_LONGEST_TEXT = 32
+# The end of a limit is kept for this time, so that older reports do not restore
+# the limit.
+_RETENTION_SECONDS = 60.0
+# Maximum characters of a number that a target may send.
+_MAX_TEXT_LENGTH = 32
 
 
 def parse(text: str) -> float | None:
-    """Returns the requests a second that a header names.
+    """Parses the rate limit header of an answer.
 
     Returns:
-        A number of 0 or more; None if the text is not one.
+        Requests a second, 0 or more; None if the text is no such number.
     """
-    if len(text) > _LONGEST_TEXT:
+    if len(text) > _MAX_TEXT_LENGTH:
         return None
     try:
         rate = float(text)
@@ -38,132 +38,143 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class _Known:
-    """What is known of one target.
+class _Report:
+    """Latest report of one target.
 
     Attributes:
-        born: The start of the target that said it.
-        rate: Requests a second; None if it names no limit.
-        at: When the target said it.
+        born: The start of the target that reported it.
+        rate: Requests a second; None without a limit.
+        reported_at: When the target reported it.
     """
 
     born: int
     rate: float | None
-    at: float
+    reported_at: float
 
 
 class RateLimits:
-    """Limits of all targets, as one host knows them."""
+    """Rate limits of all targets, as received by one host."""
 
     def __init__(self) -> None:
-        self._known: dict[str, _Known] = {}
+        self._reports: dict[str, _Report] = {}
 
     def __repr__(self) -> str:
         return f"<RateLimits of {self.count} targets>"
 
     @property
     def count(self) -> int:
-        """How many targets have a limit."""
-        return sum(known.rate is not None for known in self._known.values())
+        """Number of targets that have a limit."""
+        return sum(report.rate is not None for report in self._reports.values())
 
     @property
     def rates(self) -> dict[str, float]:
         """Requests a second of all targets that have a limit."""
         return {
-            name: known.rate
-            for name, known in self._known.items()
-            if known.rate is not None
+            name: report.rate
+            for name, report in self._reports.items()
+            if report.rate is not None
         }
 
     def rate(self, target: str, born: int) -> float | None:
         """Returns a target's limit; None if this start of it has none."""
-        known = self._known.get(target)
-        return known.rate if known and known.born == born else None
+        report = self._reports.get(target)
+        return report.rate if report and report.born == born else None
 
     def age(self, target: str, now: float) -> float:
-        """Returns how long ago a target last said anything of a limit."""
-        known = self._known.get(target)
-        return now - known.at if known else math.inf
+        """Returns the age of the latest report of a target."""
+        report = self._reports.get(target)
+        return now - report.reported_at if report else math.inf
 
     def heard(
         self, target: str, born: int, rate: float | None, now: float
     ) -> bool:
-        """Takes in what a target says in an answer.
+        """Records the limit in an answer of a target.
 
         Args:
             target: The target.
-            born: The start of the target that was asked.
-            rate: The limit that it names; None if it names none.
+            born: The start of the target that the request was sent to.
+            rate: The limit in the answer; None without one.
             now: The time.
 
         Returns:
-            Whether its limit is another than before.
+            Whether its limit changed.
         """
-        if rate is None and target not in self._known:
+        if rate is None and target not in self._reports:
             return False
-        return self._take(target, _Known(born=born, rate=rate, at=now))
+        return self._update_if_newer(
+            target, _Report(born=born, rate=rate, reported_at=now)
+        )
 
     def merge(
         self, limits: Iterable[site_messages.RateLimit], now: float
     ) -> list[str]:
-        """Takes in what another host knows; returns whose limits changed."""
+        """Merges another host's limits; returns targets whose limit changed."""
         return [
             limit.target
             for limit in limits
-            if self._take(
+            if self._update_if_newer(
                 limit.target,
-                _Known(born=limit.born, rate=limit.rate, at=now - limit.age),
+                _Report(
+                    born=limit.born,
+                    rate=limit.rate,
+                    reported_at=now - limit.age,
+                ),
             )
         ]
 
-    def _take(self, target: str, said: _Known) -> bool:
-        known = self._known.get(target)
-        if known is not None and (known.born, known.at) >= (
-            said.born,
-            said.at,
+    def _update_if_newer(self, target: str, received: _Report) -> bool:
+        report = self._reports.get(target)
+        if report is not None and (report.born, report.reported_at) >= (
+            received.born,
+            received.reported_at,
         ):
             return False
-        self._known[target] = said
-        before = known.rate if known and known.born == said.born else None
-        return said.rate != before
+        self._reports[target] = received
+        previous_rate = (
+            report.rate if report and report.born == received.born else None
+        )
+        return received.rate != previous_rate
 
     def records(
         self, now: float, targets: Collection[str] | None = None
     ) -> tuple[site_messages.RateLimit, ...]:
-        """Returns what is known, for other hosts.
+        """Returns the latest reports, for other hosts.
 
         Args:
             now: The time.
-            targets: Those of interest; all if None.
+            targets: Targets to include; all if None.
         """
         return tuple(
             site_messages.RateLimit(
-                name, known.born, known.rate, max(0.0, now - known.at)
+                name,
+                report.born,
+                report.rate,
+                max(0.0, now - report.reported_at),
             )
-            for name, known in self._known.items()
+            for name, report in self._reports.items()
             if targets is None or name in targets
         )
 
     def forget_before(self, target: str, born: int) -> bool:
-        """Forgets what starts of a target before this one have said.
+        """Removes the report of an earlier start of a target.
 
         Returns:
-            Whether a limit was forgotten.
+            Whether a limit was removed.
         """
-        known = self._known.get(target)
-        if known is None or known.born >= born:
+        report = self._reports.get(target)
+        if report is None or report.born >= born:
             return False
-        del self._known[target]
-        return known.rate is not None
+        del self._reports[target]
+        return report.rate is not None
 
     def forget(self, targets: Collection[str], now: float) -> None:
-        """Forgets limits that ended long ago and targets that are gone.
+        """Removes limits that ended long ago and old ones of removed targets.
 
         Args:
-            targets: All targets that there are.
+            targets: All current targets.
             now: The time.
         """
-        for name, known in list(self._known.items()):
-            is_old = now - known.at > _REMEMBER_SECONDS
-            if is_old and (known.rate is None or name not in targets):
-                del self._known[name]
+        for name, report in list(self._reports.items()):
+            is_old = now - report.reported_at > _RETENTION_SECONDS
+            if is_old and (report.rate is None or name not in targets):
+                del self._reports[name]
--- a/packages/endivestream/src/endivestream/request/send_slots.py
+++ b/packages/endivestream/src/endivestream/request/send_slots.py
@@ -1,10 +1,11 @@
-"""When requests may go to targets that name a limit. Pure, with time given.
+"""Scheduling of requests to rate-limited targets. Pure, with time given.
 
 All hosts together must keep a target's limit, which may be less than one
 request a second and host. The leader therefore grants sends one by one, each
-for its own moment, and tells the others when to ask again. Where a limit is
-large beside the number of hosts, each host keeps a part of it by itself, so
-that limits which bind nobody cost no message.
+for its own time, and returns the time of the next request to those it denies.
+If a limit is large relative to the number of hosts, each host uses a share of
+it without a request to the leader, so that limits above the load cost no
+messages.
 
 Times are seconds.
 """
@@ -13,24 +14,24 @@
 
 import dataclasses
 
-# How far ahead the leader grants sends. A new leader grants none for as long:
-# those of the leader before are still being used.
+# How far ahead the leader grants sends. A new leader grants none during this
+# time, because sends granted by the previous leader may still be made.
 AHEAD_SECONDS = 1.0
-# Sends that may come at once after a pause.
-_BURST = 2.0
-# A target that takes nothing gets a request so often all the same: its answers
-# alone say when the limit ends.
-_LEAST_RATE = 0.125
-# The part of a limit that hosts keep by themselves, where it is at least so
-# many times the number of hosts.
-_HOST_SHARE = 0.5
-_HOST_LIMITS = 2.0
-# Hosts and leader may count the hosts differently for a while. The leader
-# leaves hosts their part already from this part of the limit on at which they
-# take it.
-_COUNT_MARGIN = 0.75
-# Longest time until a host asks again.
-_LONGEST_WAIT_SECONDS = 5.0
+# Sends that may be made together after a pause.
+_BURST_SENDS = 2.0
+# Sends a second to a target with a lower limit, also of 0: only an answer of
+# the target can end the limit.
+_MIN_SENDS_PER_SECOND = 0.125
+# Fraction of a limit that hosts use without a grant, and the requests a second
+# per host from which on they do so.
+_HOST_FRACTION = 0.5
+_MIN_REQUESTS_PER_SECOND_AND_HOST = 2.0
+# Hosts and leader may count different numbers of hosts for a while. The leader
+# already sets the hosts' fraction aside at this part of the limit from which
+# on hosts use it.
+_HOST_COUNT_MARGIN = 0.75
+# Maximum time after which a denied host requests again.
+_MAX_RETRY_SECONDS = 5.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -42,73 +43,76 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Denied:
-    """Nothing may be sent; ask again after `seconds`."""
+    """Nothing may be sent; request again after `seconds`."""
 
     seconds: float
 
 
 def host_rate(rate: float, hosts: int) -> float:
-    """Returns the sends a second that each host may make without asking.
+    """Returns the sends a second that each host may make without a grant.
 
-    Each may send its first at any moment, so there is none for small limits.
+    Each host may make its first send at any time, so the rate is 0 for small
+    limits.
 
     Args:
         rate: The target's limit.
-        hosts: How many entry hosts there are; 0 if that is not known.
+        hosts: Number of entry hosts; 0 if unknown.
     """
-    if hosts < 1 or rate < _HOST_LIMITS * hosts:
+    if hosts < 1 or rate < _MIN_REQUESTS_PER_SECOND_AND_HOST * hosts:
         return 0.0
-    return _HOST_SHARE * rate / hosts
+    return _HOST_FRACTION * rate / hosts
 
 
 def _leader_rate(rate: float, hosts: int) -> float:
     """Returns the sends a second that the leader grants."""
-    may_keep = rate >= _COUNT_MARGIN * _HOST_LIMITS * hosts
-    kept = _HOST_SHARE if may_keep else 0.0
-    return max(_LEAST_RATE, rate * (1 - kept))
+    hosts_may_use_share = (
+        rate >= _HOST_COUNT_MARGIN * _MIN_REQUESTS_PER_SECOND_AND_HOST * hosts
+    )
+    host_fraction = _HOST_FRACTION if hosts_may_use_share else 0.0
+    return max(_MIN_SENDS_PER_SECOND, rate * (1 - host_fraction))
 
 
 class HostShare:
-    """Sends of one host to one target, within its own part of the limit."""
+    """Sends of one host to one target, within its share of the limit."""
 
     def __init__(self) -> None:
-        self._next = float("-inf")
+        self._next_send_at = float("-inf")
 
     def spend(self, rate: float, hosts: int, now: float) -> bool:
-        """Takes one send; False if it has to be asked for."""
-        own = host_rate(rate, hosts)
-        if own <= 0 or now < self._next:
+        """Takes one send; False if it needs a grant of the leader."""
+        own_rate = host_rate(rate, hosts)
+        if own_rate <= 0 or now < self._next_send_at:
             return False
-        self._next = now + 1 / own
+        self._next_send_at = now + 1 / own_rate
         return True
 
 
 @dataclasses.dataclass(kw_only=True)
-class _Line:
-    """Sends to one start of a target.
+class _SendSchedule:
+    """Send schedule for one start of a target.
 
     Attributes:
         born: The start.
-        rate: Sends a second that were granted last.
-        next: When the next send may be made.
-        told: From when the next host that is refused may ask again.
+        rate: Sends a second, as of the last call.
+        next_send_at: When the next send may be made.
+        next_retry_at: When the next denied host may request again.
     """
 
     born: int
     rate: float
-    next: float
-    told: float = float("-inf")
+    next_send_at: float
+    next_retry_at: float = float("-inf")
 
 
 class SendSlots:
-    """Sends to targets with a limit, during one term of leadership."""
+    """Sends to rate-limited targets, during one term of a leader."""
 
     def __init__(self, *, now: float) -> None:
-        self._begun = now
-        self._lines: dict[str, _Line] = {}
+        self._started_at = now
+        self._schedules: dict[str, _SendSchedule] = {}
 
     def __repr__(self) -> str:
-        return f"<SendSlots of {len(self._lines)} targets>"
+        return f"<SendSlots of {len(self._schedules)} targets>"
 
     def take(
         self,
@@ -120,51 +124,70 @@
         patience: float,
         now: float,
     ) -> Granted | Denied:
-        """Grants a send, or says when to ask again.
+        """Grants a send, or denies it until a later time.
 
         Args:
             target: The target.
             born: Its start.
             rate: Its limit.
-            hosts: How many entry hosts there are.
-            patience: Seconds for which the request can wait.
+            hosts: Number of entry hosts.
+            patience: Maximum seconds that the request can wait.
             now: The time.
         """
-        line = self._line(target, born, _leader_rate(rate, hosts), now)
-        wait = max(0.0, line.next - now)
+        schedule = self._schedule(target, born, _leader_rate(rate, hosts), now)
+        wait = max(0.0, schedule.next_send_at - now)
         if wait <= min(patience, AHEAD_SECONDS):
-            line.next = max(line.next, self._earliest(line, now))
-            line.next += 1 / line.rate
+            schedule.next_send_at = max(
+                schedule.next_send_at, self._earliest_send(schedule, now)
+            )
+            schedule.next_send_at += 1 / schedule.rate
             return Granted(wait=wait)
-        # Hosts that are refused together are told different times, or they
-        # would all ask again at once.
-        again = min(max(line.told, line.next), now + _LONGEST_WAIT_SECONDS)
-        line.told = again + 1 / line.rate
-        return Denied(seconds=again - now)
+        # Hosts that are denied together get different times, so that they do
+        # not all request again simultaneously.
+        retry_at = min(
+            max(schedule.next_retry_at, schedule.next_send_at),
+            now + _MAX_RETRY_SECONDS,
+        )
+        schedule.next_retry_at = retry_at + 1 / schedule.rate
+        return Denied(seconds=retry_at - now)
 
     def spent(self, target: str, born: int, rate: float, now: float) -> None:
-        """Counts a send that was made without asking."""
-        line = self._line(target, born, max(_LEAST_RATE, rate), now)
-        line.next = max(line.next, self._earliest(line, now)) + 1 / line.rate
+        """Counts a send that was made without a grant."""
+        schedule = self._schedule(
+            target, born, max(_MIN_SENDS_PER_SECOND, rate), now
+        )
+        schedule.next_send_at = (
+            max(schedule.next_send_at, self._earliest_send(schedule, now))
+            + 1 / schedule.rate
+        )
 
     def forget(self, targets: dict[str, float]) -> None:
-        """Forgets all targets but those that have a limit."""
-        for name in self._lines.keys() - targets.keys():
-            del self._lines[name]
-
-    def _earliest(self, line: _Line, now: float) -> float:
-        """Returns from when unused sends still count."""
-        return max(self._begun + AHEAD_SECONDS, now - (_BURST - 1) / line.rate)
-
-    def _line(self, target: str, born: int, rate: float, now: float) -> _Line:
-        line = self._lines.get(target)
-        if line is None or line.born != born:
-            first = max(now, self._begun + AHEAD_SECONDS)
-            line = _Line(born=born, rate=rate, next=first)
-            self._lines[target] = line
-        if rate > line.rate:
-            # What was spent at a lower limit does not hold up the higher one.
-            line.next = min(line.next, now + AHEAD_SECONDS)
-            line.told = min(line.told, now)
-        line.rate = rate
-        return line
+        """Removes all targets without a limit."""
+        for name in self._schedules.keys() - targets.keys():
+            del self._schedules[name]
+
+    def _earliest_send(self, schedule: _SendSchedule, now: float) -> float:
+        """Returns the earliest time whose unused sends may still be made."""
+        return max(
+            self._started_at + AHEAD_SECONDS,
+            now - (_BURST_SENDS - 1) / schedule.rate,
+        )
+
+    def _schedule(
+        self, target: str, born: int, rate: float, now: float
+    ) -> _SendSchedule:
+        schedule = self._schedules.get(target)
+        if schedule is None or schedule.born != born:
+            first_send_at = max(now, self._started_at + AHEAD_SECONDS)
+            schedule = _SendSchedule(
+                born=born, rate=rate, next_send_at=first_send_at
+            )
+            self._schedules[target] = schedule
+        if rate > schedule.rate:
+            # Sends made at a lower limit do not delay those at a higher one.
+            schedule.next_send_at = min(
+                schedule.next_send_at, now + AHEAD_SECONDS
+            )
+            schedule.next_retry_at = min(schedule.next_retry_at, now)
+        schedule.rate = rate
+        return schedule
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -11,16 +11,17 @@
 
 
 class ParseTest(unittest.TestCase):
-    def test_numbers(self):
+    def test_valid_limits_are_parsed(self):
         for text, rate in (("1.5", 1.5), ("0", 0.0), ("1e9", 1e9), (" 2 ", 2)):
             self.assertEqual(rate_limits.parse(text), rate, text)
 
-    def test_what_is_no_number_of_requests(self):
-        """Guards against limits of nan or below zero, which bound nothing."""
+    def test_invalid_limits_are_rejected(self):
+        """Guards against limits of NaN or below zero, which limit nothing."""
         texts = ("", "soon", "nan", "inf", "-1", "1,5", "1e999", "1" * 40)
         for text in texts:
             self.assertIsNone(rate_limits.parse(text), text)
 
+    # Guards against exceptions and invalid rates, whatever a header contains.
     @hypothesis.given(st.text(max_size=40))
     def test_any_text(self, text):
         rate = rate_limits.parse(text)
@@ -31,27 +32,27 @@
     def setUp(self):
         self.limits = rate_limits.RateLimits()
 
-    def test_a_limit_rises_falls_and_ends(self):
+    def test_a_limit_follows_the_latest_answer(self):
         for now, rate in ((1.0, 1.5), (2.0, 3.0), (3.0, 0.0), (4.0, None)):
             self.assertTrue(self.limits.heard("t1", 1, rate, now))
             self.assertEqual(self.limits.rate("t1", 1), rate)
         self.assertFalse(self.limits.heard("t1", 1, None, 5.0))
 
-    def test_another_start_of_a_target_has_no_limit_of_the_one_before(self):
-        """Guards against limits that outlive the process that named them."""
+    def test_a_restarted_target_does_not_inherit_a_limit(self):
+        """Guards against limits that outlive the process that reported them."""
         self.limits.heard("t1", 1, 1.5, 1.0)
         self.assertIsNone(self.limits.rate("t1", 2))
         self.limits.heard("t1", 2, 4.0, 2.0)
         self.assertFalse(self.limits.merge([said(1.5)], 3.0))
         self.assertEqual(self.limits.rate("t1", 2), 4.0)
 
-    def test_what_an_earlier_start_said_is_forgotten(self):
+    def test_the_limit_of_an_earlier_start_is_removed(self):
         self.limits.heard("t1", 1, 1.5, 1.0)
         self.assertFalse(self.limits.forget_before("t1", 1))
         self.assertTrue(self.limits.forget_before("t1", 2))
         self.assertEqual({}, self.limits.rates)
 
-    def test_late_word_of_a_limit_does_not_bring_it_back(self):
+    def test_a_late_report_does_not_restore_an_ended_limit(self):
         self.limits.heard("t1", 1, 1.5, 1.0)
         self.limits.heard("t1", 1, None, 5.0)
         self.assertEqual([], self.limits.merge([said(1.5, age=2.0)], 6.0))
@@ -62,12 +63,14 @@
             self.limits.heard(f"t{number}", 1, None, 1.0)
         self.assertEqual((), self.limits.records(2.0))
 
-    def test_what_is_gone_is_forgotten(self):
+    def test_limits_of_removed_targets_are_removed(self):
         self.limits.heard("t1", 1, 1.5, 1.0)
         self.limits.heard("t2", 1, 1.5, 1.0)
         self.limits.forget({"t1"}, 100.0)
         self.assertEqual({"t1": 1.5}, self.limits.rates)
 
+    # Guards against hosts whose limits differ permanently because reports reach
+    # them in different orders.
     @hypothesis.given(
         st.lists(
             st.tuples(
--- a/tests/test_send_slots.py
+++ b/tests/test_send_slots.py
@@ -10,7 +10,7 @@
 
 
 def granted(slots, now, **fields):
-    """Returns when a send may be made, or None."""
+    """Returns when a send may be made; None if it is denied."""
     match take(slots, now, **fields):
         case send_slots.Granted(wait=wait):
             return now + wait
@@ -36,68 +36,68 @@
         self.assertLessEqual(len(times), 1.5 * 21 + 2)
         self.assertGreaterEqual(len(times), 1.5 * 20)
 
-    def test_who_is_refused_is_told_when_to_ask_again(self):
+    def test_a_denied_host_gets_a_send_at_its_retry_time(self):
         slots = send_slots.SendSlots(now=0.0)
         while granted(slots, 10.0) is not None:
             pass
         seconds = take(slots, 10.0).seconds
         self.assertIsNotNone(granted(slots, 10.0 + seconds))
 
-    def test_hosts_refused_together_do_not_come_back_together(self):
-        """Guards against hundreds of hosts that ask in the same instant."""
+    def test_hosts_denied_together_get_different_retry_times(self):
+        """Guards against hundreds of hosts that request simultaneously."""
         slots = send_slots.SendSlots(now=0.0)
-        told = [
+        retry_seconds = [
             denied.seconds
             for denied in (take(slots, 10.0, patience=0.1) for _ in range(8))
             if isinstance(denied, send_slots.Denied)
         ]
-        self.assertEqual(len(told), len(set(told)))
+        self.assertEqual(len(retry_seconds), len(set(retry_seconds)))
 
-    def test_a_new_leader_grants_nothing_that_the_one_before_has_granted(self):
-        """Guards against two leaders' sends in the same second."""
+    def test_a_new_leader_grants_no_send_that_the_previous_one_granted(self):
+        """Guards against sends of two leaders in the same second."""
         slots = send_slots.SendSlots(now=10.0)
         self.assertIsNone(granted(slots, 10.1, patience=0.5))
         first = granted(slots, 10.5)
         self.assertGreaterEqual(first, 10.0 + send_slots.AHEAD_SECONDS)
 
-    def test_a_target_that_takes_nothing_is_still_tried(self):
-        """Guards against a limit of zero that nobody sees end."""
+    def test_a_target_with_a_limit_of_zero_is_still_tried(self):
+        """Guards against a limit of zero whose end no host notices."""
         slots = send_slots.SendSlots(now=0.0)
         times = [granted(slots, 10.0 + n / 10, rate=0.0) for n in range(600)]
         count = sum(time is not None for time in times)
         self.assertTrue(5 <= count <= 11, count)
 
-    def test_a_limit_that_rises_is_used_at_once(self):
+    def test_a_raised_limit_is_used_within_its_first_second(self):
         slots = send_slots.SendSlots(now=0.0)
         for n in range(10):
             granted(slots, 10.0 + n / 10, rate=0.0)
         self.assertIsNotNone(granted(slots, 11.1, rate=50.0))
 
-    def test_another_start_begins_anew(self):
+    def test_a_restarted_target_gets_a_new_schedule(self):
         slots = send_slots.SendSlots(now=0.0)
         while granted(slots, 10.0) is not None:
             pass
         self.assertIsNotNone(granted(slots, 10.0, born=2))
 
-    def test_orders_count(self):
-        """Guards against placement that spends what requests are granted."""
+    def test_sends_without_a_grant_are_counted(self):
+        """Guards against placement orders in excess of a target's limit."""
         slots = send_slots.SendSlots(now=0.0)
         for _ in range(8):
             slots.spent("t1", 1, 1.5, 10.0)
         self.assertIsNone(granted(slots, 10.0))
 
-    def test_a_huge_limit_costs_no_message(self):
-        """Guards against a leader that is asked for each request."""
+    def test_a_large_limit_costs_no_messages(self):
+        """Guards against a message to the leader for each request."""
         share = send_slots.HostShare()
         sent = sum(share.spend(1e6, 390, n / 100) for n in range(1000))
         self.assertEqual(sent, 1000)
 
-    def test_hosts_that_know_no_others_keep_no_share(self):
-        """Guards against hosts that each take themselves for the only one."""
+    def test_a_host_without_the_number_of_hosts_has_no_share(self):
+        """Guards against hosts that each use the limit as the only host."""
         self.assertFalse(send_slots.HostShare().spend(1e6, 0, 1.0))
 
-    def test_hosts_and_leader_that_count_differently_keep_the_limit(self):
-        """Guards against a leader that grants what hosts send by themselves."""
+    def test_the_limit_holds_when_hosts_and_leader_count_differently(self):
+        """Guards against a leader that grants the hosts' own share again."""
         rate, seconds = 20.0, 4.0
         slots = send_slots.SendSlots(now=0.0)
         shares = [send_slots.HostShare() for _ in range(10)]
@@ -108,11 +108,13 @@
             sent += granted(slots, now, rate=rate, hosts=13) is not None
         self.assertLessEqual(sent, 1.5 * rate * seconds + 5)
 
-    def test_many_hosts_keep_no_share_of_a_small_limit(self):
-        """Guards against hundreds of hosts that each send their first."""
+    def test_hosts_have_no_share_of_a_small_limit(self):
+        """Guards against hundreds of first sends at the same time."""
         for rate, hosts in ((1.5, 2), (7.0, 4), (100.0, 390)):
             self.assertFalse(send_slots.HostShare().spend(rate, hosts, 1.0))
 
+    # Guards against more sends in a window than the limit permits. Hosts
+    # request sends at any time, leaders are replaced, and sends are late.
     @hypothesis.given(
         rate=st.sampled_from([0.0, 0.3, 1.5, 2.7, 12.0, 60.0, 400.0]),
         hosts=st.integers(1, 120),
