--- a/packages/endivestream/src/endivestream/request/retries.py
+++ b/packages/endivestream/src/endivestream/request/retries.py
@@ -1,27 +1,28 @@
-"""When a request may be tried again, and how soon. Pure."""
+"""Retry budget and backoff. Pure."""
 
 from __future__ import annotations
 
 import random
 
-# Retries allowed before any request has earned some, so that a quiet host can
-# still retry.
-_LEAST = 10.0
-# Credit is capped, so that a long quiet time does not pay for a storm.
-_MOST = 100.0
+# Retries available before requests have earned any, so that a host with little
+# traffic can still retry.
+_INITIAL_CREDIT = 10.0
+# Credit is capped, so that a long time without failures does not permit a burst
+# of retries.
+_MAX_CREDIT = 100.0
 
 
 class Budget:
     """Retries as a share of recent requests.
 
-    When targets fail for everybody, retries would multiply the load by the
-    number of attempts just when there is least capacity (symptom: a short
-    fault that does not end). A share bounds the extra load.
+    When targets fail for all requests, retries would multiply the load by the
+    number of attempts when capacity is lowest (symptom: a short fault that
+    does not end). The share bounds the extra load.
     """
 
     def __init__(self, *, share: float) -> None:
         self._share = share
-        self._credit = _LEAST
+        self._credit = _INITIAL_CREDIT
 
     @property
     def credit(self) -> float:
@@ -29,8 +30,8 @@
         return self._credit
 
     def request(self) -> None:
-        """Notes a first attempt."""
-        self._credit = min(_MOST, self._credit + self._share)
+        """Counts a first attempt."""
+        self._credit = min(_MAX_CREDIT, self._credit + self._share)
 
     def retry(self) -> bool:
         """Takes one retry, if there is credit."""
@@ -43,12 +44,12 @@
 def backoff(
     attempt: int, *, rng: random.Random, base: float = 0.02, most: float = 1.0
 ) -> float:
-    """Returns seconds before a further attempt, with full jitter.
+    """Returns the seconds before the next attempt, with full jitter.
 
     Args:
         attempt: Attempts made so far, from 1.
         rng: Source of the jitter.
-        base: The first upper bound, in seconds.
-        most: The largest upper bound, in seconds.
+        base: The upper bound after one attempt, in seconds.
+        most: The maximum upper bound, in seconds.
     """
     return rng.uniform(0.0, min(most, base * 2 ** (attempt - 1)))
--- a/packages/endivestream/src/endivestream/request/routes.py
+++ b/packages/endivestream/src/endivestream/request/routes.py
@@ -1,4 +1,4 @@
-"""Which route, team and service a request belongs to. Pure."""
+"""Lookup of the route, team and service of a request. Pure."""
 
 from __future__ import annotations
 
@@ -9,26 +9,28 @@
 
 
 class Owner(NamedTuple):
-    """Whose request it is.
+    """The team that a request belongs to.
 
     Attributes:
-        team: The team, or None on a route that needs no key.
+        team: The team, or None without a known key if none is required.
     """
 
     team: document_lib.Team | None
 
 
 class Table:
-    """One document, arranged for looking up."""
+    """Index of one document by host and path, key, and service name."""
 
     def __init__(self, *, document: document_lib.Document) -> None:
         self.document = document
-        self._services = {s.name: s for s in document.services}
-        self._keys = {k: t for t in document.teams for k in t.keys}
-        self._hosts: dict[str, list[document_lib.Route]] = {}
+        self._services_by_name = {s.name: s for s in document.services}
+        self._teams_by_key = {k: t for t in document.teams for k in t.keys}
+        self._routes_by_host: dict[str, list[document_lib.Route]] = {}
         for route in document.routes:
-            self._hosts.setdefault(route.host.lower(), []).append(route)
-        for routes in self._hosts.values():
+            self._routes_by_host.setdefault(route.host.lower(), []).append(
+                route
+            )
+        for routes in self._routes_by_host.values():
             routes.sort(key=lambda route: -len(route.prefix))
 
     def __repr__(self) -> str:
@@ -41,28 +43,29 @@
             host: The request's host name, with or without a port.
             path: The path without the query.
         """
-        name = host.rsplit(":", 1)[0] if ":" in host else host
-        for route in self._hosts.get(name.lower(), ()):
+        hostname = host.rsplit(":", 1)[0] if ":" in host else host
+        for route in self._routes_by_host.get(hostname.lower(), ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
     def owner(self, route: document_lib.Route, key: str) -> Owner | None:
-        """Returns whose request it is; None if the key is not known."""
+        """Returns the owner of a request; None if it needs a known key."""
         if not self.document.teams or route.anonymous:
-            return Owner(self._keys.get(key))
-        team = self._keys.get(key)
+            return Owner(self._teams_by_key.get(key))
+        team = self._teams_by_key.get(key)
         return None if team is None else Owner(team)
 
     def service(self, name: str) -> document_lib.Service | None:
         """Returns a service by name, or None."""
-        return self._services.get(name)
+        return self._services_by_name.get(name)
 
 
 def pick_service(route: document_lib.Route, request: str) -> str:
     """Returns the service for a request, split by the route's weights.
 
-    The request's id decides, so that a repeat meets the same service.
+    The choice is a hash of the request's id, so that a repeat gets the same
+    service.
     """
     if len(route.choices) == 1:
         return route.choices[0].service
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -21,36 +21,36 @@
         )
 
     def _route(self, host, path):
-        found = self.table.route(host, path)
-        return found.name if found else None
+        route = self.table.route(host, path)
+        return route.name if route else None
 
     def test_the_longest_prefix_wins(self):
         self.assertEqual(self._route("a.example", "/x/y/z"), "long")
         self.assertEqual(self._route("A.example:80", "/x/"), "short")
         self.assertIsNone(self._route("b.example", "/x/"))
 
-    def test_a_prefix_is_not_the_path_without_its_slash(self):
+    def test_a_path_without_the_final_slash_does_not_match(self):
         self.assertEqual(self._route("a.example", "/x/y"), "short")
 
-    def test_keys(self):
+    def test_known_keys_belong_to_their_team(self):
         route = self.table.route("a.example", "/x/")
         self.assertEqual(self.table.owner(route, "k2").team.name, "band")
         self.assertIsNone(self.table.owner(route, "k3"))
         self.assertIsNone(self.table.owner(route, ""))
 
-    def test_an_open_route_needs_no_key_and_knows_one(self):
+    def test_an_anonymous_route_accepts_requests_with_and_without_a_key(self):
         route = self.table.route("a.example", "/o/")
         self.assertIsNone(self.table.owner(route, "").team)
         self.assertEqual(self.table.owner(route, "k1").team.name, "band")
 
-    def test_without_teams_no_key_is_asked_for(self):
+    def test_without_teams_no_key_is_required(self):
         table = routes_lib.Table(document=test_document.document())
         route = table.route("a.example", "/x/")
         self.assertIsNone(table.owner(route, "any").team)
 
 
 class SplitTest(unittest.TestCase):
-    def test_weights_are_kept_to(self):
+    def test_requests_are_split_by_weight(self):
         choices = tuple(
             document_lib.Choice(*each)
             for each in (("a", 90), ("none", 0), ("b", 10))
@@ -62,8 +62,8 @@
         self.assertNotIn("none", picked)
         self.assertAlmostEqual(picked.count("b") / 2000, 0.1, delta=0.03)
 
-    def test_the_same_request_meets_the_same_service(self):
+    def test_a_repeated_request_gets_the_same_service(self):
         choices = (document_lib.Choice("a", 1), document_lib.Choice("b", 1))
         route = test_document.route(choices=choices)
-        again = {routes_lib.pick_service(route, "one") for _ in range(9)}
-        self.assertEqual(len(again), 1)
+        picked = {routes_lib.pick_service(route, "one") for _ in range(9)}
+        self.assertEqual(len(picked), 1)
