--- a/packages/endivestream/src/endivestream/request/turns.py
+++ b/packages/endivestream/src/endivestream/request/turns.py
@@ -1,58 +1,66 @@
-"""When an engine should get the next prompt. Pure, with time as an argument.
+"""Prefill turns: when an engine should get the next prompt. Pure.
 
-An engine reads prompts between the tokens of the requests that it runs. Each
-engine has one owner among the entry hosts, which spreads the prompts of all
-hosts in time; without it they come in heaps, and every stream on the engine
-pauses while a heap is read. A turn is advice: whoever gets none sends anyway.
+An engine processes prompts (prefill) between the decoding steps of its running
+requests. Each engine has one turn owner among the entry hosts, which spreads
+the prompts of all hosts in time; without it they arrive in bursts, and every
+stream on the engine pauses during the prefill of a burst. Turns are advisory: a
+host that gets none sends its prompt anyway. Time is an argument.
 """
 
 from __future__ import annotations
 
-# Prompt tokens a second that an engine is given. With more, most streams pause
-# for longer than their callers count as in time.
+# Prompt tokens a second that are sent to an engine. With more, most streams
+# pause for longer than the gap that their callers count as in time.
 PACE_TOKENS = 14_000.0
-# What may come at once, in seconds of that pace: one long prompt or two.
+# Permitted burst, in seconds of that pace: one or two long prompts.
 AHEAD_SECONDS = 0.15
-# 0 is the most urgent rank, this the least.
-_LAST_RANK = 9
-# Engines without a turn for so long are forgotten.
-_FORGET_SECONDS = 60.0
+# 0 is the most urgent rank, this the least urgent one.
+_LEAST_URGENT_RANK = 9
+# Engines that have been idle for this time are removed.
+_IDLE_RETENTION_SECONDS = 60.0
 
 
 class Turns:
-    """Turns at the engines that one host owns."""
+    """Prefill turns at the engines whose turn owner is this host."""
 
     def __init__(self) -> None:
-        # For each engine and rank, until when the prompts of this rank and of
-        # more urgent ones keep it busy.
-        self._clocks: dict[str, list[float]] = {}
+        # Per engine and rank, the time until which prompts of this rank and of
+        # more urgent ones keep the engine busy.
+        self._busy_until: dict[str, list[float]] = {}
 
     def __repr__(self) -> str:
-        return f"<Turns at {len(self._clocks)} engines>"
+        return f"<Turns at {len(self._busy_until)} engines>"
 
     def take(self, target: str, tokens: float, rank: int, now: float) -> float:
-        """Returns how many seconds a prompt should wait for its turn.
+        """Returns the seconds that a prompt should wait for its turn.
 
-        A prompt waits only behind prompts that are as urgent or more so, and
-        keeps all less urgent ones waiting that come after it.
+        A prompt waits only for earlier prompts of the same or a more urgent
+        rank; it delays later prompts of the same or a less urgent rank.
 
         Args:
             target: The engine.
-            tokens: How long the prompt is.
-            rank: 0 for the most urgent.
+            tokens: Length of the prompt.
+            rank: 0 is the most urgent.
             now: The time.
         """
-        rank = min(_LAST_RANK, max(0, rank))
-        clocks = self._clocks.pop(target, [now] * (_LAST_RANK + 1))
-        wait = max(0.0, clocks[rank] - AHEAD_SECONDS - now)
-        for each in range(rank, _LAST_RANK + 1):
-            clocks[each] = max(clocks[each], now) + tokens / PACE_TOKENS
-        self._clocks[target] = clocks
-        self._forget(now)
+        rank = min(_LEAST_URGENT_RANK, max(0, rank))
+        busy_until = self._busy_until.pop(
+            target, [now] * (_LEAST_URGENT_RANK + 1)
+        )
+        wait = max(0.0, busy_until[rank] - AHEAD_SECONDS - now)
+        for affected_rank in range(rank, _LEAST_URGENT_RANK + 1):
+            busy_until[affected_rank] = (
+                max(busy_until[affected_rank], now) + tokens / PACE_TOKENS
+            )
+        self._busy_until[target] = busy_until
+        self._remove_idle(now)
         return wait
 
-    def _forget(self, now: float) -> None:
-        """Forgets the engine that has been idle longest, if for long."""
-        oldest = next(iter(self._clocks))
-        if self._clocks[oldest][_LAST_RANK] < now - _FORGET_SECONDS:
-            del self._clocks[oldest]
+    def _remove_idle(self, now: float) -> None:
+        """Removes the engine whose last turn is oldest, if it was long idle."""
+        oldest = next(iter(self._busy_until))
+        if (
+            self._busy_until[oldest][_LEAST_URGENT_RANK]
+            < now - _IDLE_RETENTION_SECONDS
+        ):
+            del self._busy_until[oldest]
--- a/packages/endivestream/src/endivestream/request/unserved.py
+++ b/packages/endivestream/src/endivestream/request/unserved.py
@@ -1,73 +1,76 @@
-"""For how long what callers ask for has not been served on one host. Pure.
+"""How long requested models have not been served on one host. Pure.
 
-The load pattern that it answers: a site has more models than places, and many
-of them are asked for now and then. A caller of such a model waits for seconds
-and leaves; the next one comes later. Judged by who waits at the moment, each
-of them is a single request that is worth less than what it would displace.
+This handles sites with more models than their engines can hold, many of which
+are requested rarely. A caller of such a model waits for seconds and
+disconnects; the next request arrives later. Counted by the requests that wait
+at any moment, such a model has a single request, which is worth less than what
+its load would displace.
 
-Hosts remember, not the planner, so that turns outlive the placing host. Times
-are seconds.
+Entry hosts store this, not the planner, so that it survives a change of the
+planner lease holder. Times are seconds.
 """
 
 from __future__ import annotations
 
 import dataclasses
 
-# What nobody has asked for in this time is forgotten.
-_REMEMBER_SECONDS = 60.0
-# Callers can name any model, so the number of those remembered is bounded.
-_MOST_KEYS = 4096
+# Models that were not requested for this time are removed.
+_RETENTION_SECONDS = 60.0
+# Callers can name any model, so the number of records is bounded.
+_MAX_KEYS = 4096
 
 Key = tuple[str, str, str]
 
 
 @dataclasses.dataclass(kw_only=True)
 class _Record:
-    """One model or adapter.
+    """Unserved requests for one model or adapter.
 
     Attributes:
-        since: When it was first asked for in vain.
-        asked: When it was last asked for in vain.
+        first_missed_at: When the first of these requests found no target.
+        last_missed_at: When the last of these requests found no target.
     """
 
-    since: float
-    asked: float
+    first_missed_at: float
+    last_missed_at: float
 
 
 class Unserved:
-    """What has not been served, by service, model and adapter."""
+    """Unserved models and adapters, by service, model and adapter."""
 
     def __init__(self) -> None:
-        # Least recently asked for first.
+        # Least recently missed first.
         self._records: dict[Key, _Record] = {}
 
     def __repr__(self) -> str:
         return f"<Unserved {len(self._records)}>"
 
     def missed(self, key: Key, now: float) -> None:
-        """Notes a request that finds no target which holds what it needs."""
-        record = self._records.pop(key, None) or _Record(since=now, asked=now)
-        record.asked = now
+        """Records a request that no target can serve for lack of its model."""
+        record = self._records.pop(key, None) or _Record(
+            first_missed_at=now, last_missed_at=now
+        )
+        record.last_missed_at = now
         self._records[key] = record
-        self._forget(now)
+        self._remove_old(now)
 
     def served(self, key: Key) -> None:
-        """Notes a request that has found its target."""
+        """Records a request that has been assigned a target."""
         service, model, _ = key
         self._records.pop(key, None)
         self._records.pop((service, model, ""), None)
 
     def seconds(self, key: Key, now: float) -> float:
-        """Returns for how long a key has not been served; 0 if it has."""
+        """Returns the seconds since a key was first missed; 0 if served."""
         record = self._records.get(key)
-        if record is None or now - record.asked > _REMEMBER_SECONDS:
+        if record is None or now - record.last_missed_at > _RETENTION_SECONDS:
             return 0.0
-        return now - record.since
+        return now - record.first_missed_at
 
-    def _forget(self, now: float) -> None:
+    def _remove_old(self, now: float) -> None:
         while self._records:
             key, record = next(iter(self._records.items()))
-            is_old = now - record.asked > _REMEMBER_SECONDS
-            if not is_old and len(self._records) <= _MOST_KEYS:
+            is_old = now - record.last_missed_at > _RETENTION_SECONDS
+            if not is_old and len(self._records) <= _MAX_KEYS:
                 return
             del self._records[key]
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -13,11 +13,11 @@
 
 from tests import test_document
 
-_WINDOW = 0.3  # Longest pause that streams may make, in seconds.
+_WINDOW = 0.3  # Maximum pause of a stream, in seconds.
 
 
 def _most(sent):
-    """Returns the most tokens sent within any window."""
+    """Returns the maximum number of tokens sent within any window."""
     return max(
         sum(tokens for at, tokens in sent if start <= at < start + _WINDOW)
         for start, _ in sent
@@ -25,27 +25,30 @@
 
 
 class TurnsTest(unittest.TestCase):
-    def test_a_heap_of_prompts_is_spread(self):
-        """Streams on an engine do not pause because eight hosts send at once.
+    def test_bursts_of_prompts_are_spread(self):
+        """Guards against streams that pause because hosts send at once.
 
-        Prompts come at random, together at six tenths of what the engine
-        reads; without turns, more than it reads in a pause come in one.
+        Prompts arrive at random, in total at six tenths of what the engine
+        can process; without turns, more arrive in one window than the engine
+        can process during a permitted pause.
         """
-        draw = random.Random(7)
+        rng = random.Random(7)
         turns = turns_lib.Turns()
-        came = sorted(
-            (draw.uniform(0.0, 60.0), draw.choice([700.0, 1500.0, 3000.0]))
+        arrived = sorted(
+            (rng.uniform(0.0, 60.0), rng.choice([700.0, 1500.0, 3000.0]))
             for _ in range(400)
         )
         sent = [
             (now + turns.take("t", tokens, 2, now), tokens)
-            for now, tokens in came
+            for now, tokens in arrived
         ]
         pace = turns_lib.PACE_TOKENS
         bound = pace * (_WINDOW + turns_lib.AHEAD_SECONDS) + 3000.0
-        self.assertGreater(_most(came), bound)
+        self.assertGreater(_most(arrived), bound)
         self.assertLessEqual(_most(sent), bound)
 
+    # Guards against arrival patterns for which a window gets more prompt tokens
+    # than the engine can process during a permitted pause.
     @hypothesis.given(
         st.lists(
             st.tuples(st.floats(0.0, 0.5), st.floats(1.0, 6000.0)),
@@ -64,28 +67,34 @@
         bound = pace * (_WINDOW + turns_lib.AHEAD_SECONDS) + largest
         self.assertLessEqual(_most(sent), bound * (1 + 1e-9))
 
-    def test_requests_that_waited_for_a_model_take_turns(self):
-        """Sent together after a load, their prompts would pause all streams."""
+    def test_requests_that_waited_for_a_model_are_spread(self):
+        """Guards against a burst of prompts when a model has been loaded.
+
+        Sent together, the prompts would pause all streams of the engine.
+        """
         route = test_document.route(
             kind=document_lib.Kind.STREAM, timeout=12.0, objective=0.8, gap=0.3
         )
-        turns, loaded = turns_lib.Turns(), 1000.0
-        draw = random.Random(5)
+        turns, loaded_at = turns_lib.Turns(), 1000.0
+        rng = random.Random(5)
         sent = []
         for _ in range(12):
-            came = loaded - draw.uniform(0.5, 1.5)
-            until = patience.until_turn(
-                route=route, came=came, now=loaded, deadline=came + 12.0
+            arrived_at = loaded_at - rng.uniform(0.5, 1.5)
+            latest_turn = patience.until_turn(
+                route=route,
+                came=arrived_at,
+                now=loaded_at,
+                deadline=arrived_at + 12.0,
             )
-            wait = turns.take("t", 1500.0, 2, loaded)
-            wait = max(0.0, min(wait, until - loaded))
-            sent.append((loaded + wait, 1500.0))
+            wait = turns.take("t", 1500.0, 2, loaded_at)
+            wait = max(0.0, min(wait, latest_turn - loaded_at))
+            sent.append((loaded_at + wait, 1500.0))
         pace = turns_lib.PACE_TOKENS
         bound = pace * (_WINDOW + turns_lib.AHEAD_SECONDS) + 1500.0
         self.assertLessEqual(_most(sent), bound)
 
-    def test_the_urgent_do_not_wait_behind_the_others(self):
-        """A burst of less urgent prompts keeps no urgent caller waiting."""
+    def test_urgent_prompts_do_not_wait_for_less_urgent_ones(self):
+        """Guards against urgent callers delayed by a less urgent burst."""
         turns = turns_lib.Turns()
         for _ in range(20):
             turns.take("t", 1500.0, 2, 0.0)
@@ -94,11 +103,11 @@
         turns.take("t", 1500.0, 0, 0.0)
         self.assertGreater(turns.take("t", 1500.0, 2, 0.0), before)
 
-    def test_engines_that_left_are_forgotten(self):
+    def test_departed_engines_take_no_memory(self):
         turns = turns_lib.Turns()
         for number in range(100):
             turns.take(f"t{number}", 100.0, 0, 100.0 * number)
-        self.assertLess(len(turns._clocks), 5)
+        self.assertLess(len(turns._busy_until), 5)
 
 
 def _host(name, domain, *, draining=False):
@@ -127,7 +136,11 @@
         return desk
 
     async def test_all_hosts_name_the_same_owner(self):
-        """One host near the engine; the others only if none is near."""
+        """Guards against two turn owners of one engine.
+
+        The owner is a host in the engine's failure domain; other hosts are
+        owners only if that domain has none.
+        """
         hosts = [_host("e1", "a"), _host("e2", "a"), _host("e3", "b")]
         desks = [self._desk(h.name, hosts=hosts) for h in hosts]
         for number in range(30):
@@ -140,14 +153,14 @@
                 if domain == "b":
                     self.assertEqual(owners, {"tcp://e3:1"})
 
-    async def test_a_stopping_host_owns_nothing(self):
+    async def test_a_draining_host_is_no_turn_owner(self):
         hosts = [_host("e1", "a", draining=True), _host("e2", "a")]
         desk = self._desk("e2", hosts=hosts)
         for number in range(10):
             self.assertEqual(desk.owner(f"t{number}", "a"), "")
 
-    async def test_turns_of_two_hosts_are_one_queue(self):
-        """A prompt waits behind those that another host has sent."""
+    async def test_prompts_of_two_hosts_share_one_queue(self):
+        """Guards against hosts whose prompts do not wait for each other."""
         owner = self._desk("e1")
 
         async def answer(peer, message):
@@ -163,17 +176,18 @@
         owner.set_hosts([host])
         for _ in range(10):
             await owner.take("t", "a", 3000.0, 1)
-        # The first answer may come after the connection is made.
+        # The first requests may fail until the connection is made.
         wait = 0.0
         while not wait:
             other._silent_until.clear()
             wait = await other.take("t", "a", 3000.0, 1)
         self.assertGreater(wait, 1.0)
 
-    async def test_a_lost_owner_holds_nobody_up(self):
-        """Callers do not notice that the host which gives turns is gone.
+    async def test_an_unreachable_turn_owner_delays_no_prompt(self):
+        """Guards against prompts that wait for an unreachable turn owner.
 
-        It does not answer; the prompt goes at once, and it is left alone.
+        It does not answer: the prompt is sent immediately, and the owner gets
+        no further requests for some time.
         """
         desk = self._desk("e2", hosts=[_host("127.0.0.1", "a")])
         self.assertEqual(await desk.take("t", "a", 3000.0, 1), 0.0)
--- a/tests/test_unserved.py
+++ b/tests/test_unserved.py
@@ -12,36 +12,41 @@
     def setUp(self):
         self.unserved = unserved_lib.Unserved()
 
-    def test_time_counts_from_the_first_request_in_vain(self):
-        """Callers leave and others come; the model still was not served."""
+    def test_time_counts_from_the_first_missed_request(self):
+        """Guards against a count that restarts with each caller.
+
+        One caller disconnects and another arrives; the model is not served in
+        between.
+        """
         self.unserved.missed(KEY, 10.0)
         self.unserved.missed(KEY, 17.0)
         self.assertEqual(self.unserved.seconds(KEY, 18.0), 8.0)
 
-    def test_what_was_served_begins_anew(self):
+    def test_the_count_restarts_after_service(self):
         self.unserved.missed(KEY, 10.0)
         self.unserved.served(KEY)
         self.assertEqual(self.unserved.seconds(KEY, 11.0), 0.0)
         self.unserved.missed(KEY, 12.0)
         self.assertEqual(self.unserved.seconds(KEY, 13.0), 1.0)
 
-    def test_an_adapter_that_is_served_serves_its_model(self):
+    def test_a_served_adapter_counts_as_service_of_its_model(self):
         for key in (KEY, ADAPTER):
             self.unserved.missed(key, 10.0)
         self.unserved.served(ADAPTER)
         self.assertEqual(self.unserved.seconds(KEY, 11.0), 0.0)
 
-    def test_a_model_that_is_served_serves_none_of_its_adapters(self):
+    def test_a_served_model_does_not_count_as_service_of_its_adapters(self):
         for key in (KEY, ADAPTER):
             self.unserved.missed(key, 10.0)
         self.unserved.served(KEY)
         self.assertEqual(self.unserved.seconds(ADAPTER, 11.0), 1.0)
 
-    def test_what_nobody_asks_for_any_more_is_forgotten(self):
+    def test_models_without_recent_requests_count_as_served(self):
         self.unserved.missed(KEY, 10.0)
         self.assertEqual(self.unserved.seconds(KEY, 100.0), 0.0)
 
-    def test_callers_cannot_fill_memory_with_names(self):
+    def test_the_number_of_records_is_bounded(self):
+        """Guards against memory filled by callers that name many models."""
         for number in range(20_000):
             self.unserved.missed(("s", f"m{number}", ""), number / 1e4)
         self.assertLess(len(self.unserved._records), 5000)
--- a/tests/test_unserved_models.py
+++ b/tests/test_unserved_models.py
@@ -11,8 +11,8 @@
 from tests import placement_site
 from tests import virtual_time
 
-# A load from the store, the runs that hold up an unload, and what orders and
-# reports take.
+# A load from the store, the runs that delay an unload, and the time for orders
+# and reports.
 STEP_SECONDS = 4.0 + placement_site.RUN_SECONDS + 1.0
 HOLDER_PAUSE_SECONDS = 4.0
 
@@ -20,18 +20,19 @@
 def longest_bound(*, models, engines):
     """Returns the longest time for which a model in demand is not served.
 
-    A turn waits for an engine that is free of other steps, and for the end of
-    the protection of what has just come.
+    A load waits for an engine without another placement step, and for the end
+    of the protection of a model that was loaded recently.
     """
     at_once = max(1, engines // plan_lib._OVERDUE_SHARE)
     load = 2 * STEP_SECONDS + planner_lib._UNUSED_SECONDS
     return plan_lib._HOME_PATIENCE_SECONDS + math.ceil(models / at_once) * load
 
 
-async def _play_rare_models(seed, *, lost_holder=False):
-    """Three engines of three places; few models are busy, many are rare.
+async def _run_rare_models(seed, *, lost_holder=False):
+    """Runs three engines of three places; few models are busy, many rare.
 
-    No disk has the rare ones, so each load takes longer than callers wait.
+    No host has the rare ones on disk, so each load takes longer than callers
+    wait.
     """
     busy = [f"b{n}" for n in range(4)]
     rare = [f"r{n:02}" for n in range(18)]
@@ -43,7 +44,7 @@
     )
     site.start()
     seconds = 50.0
-    asking = [
+    callers = [
         placement_site.ask(
             site, model=name, rate=rate, seconds=seconds, seed=seed, burst=burst
         )
@@ -51,16 +52,16 @@
         for name in names
     ]
     if lost_holder:
-        asking.append(_lose_holder(site))
-    await asyncio.gather(*asking)
+        callers.append(_replace_lease_holder(site))
+    await asyncio.gather(*callers)
     await site.close()
     return site
 
 
-async def _play_adapters(seed, *, rate):
-    """As many adapters are asked for at `rate` as there are places.
+async def _run_adapters(seed, *, rate):
+    """Runs requests at `rate` for as many adapters as there are places.
 
-    Two more are asked for now and then.
+    Two more adapters are requested rarely.
     """
     site = placement_site.Site(
         models=["m"], engines=1, places=2, loaded=[["m"]], adapters=4
@@ -68,7 +69,7 @@
     site.start()
     seconds = 30.0
     rates = {f"a{n}": rate for n in range(4)} | {"a4": 0.4, "a5": 0.4}
-    asking = [
+    callers = [
         placement_site.ask(
             site,
             model="m",
@@ -79,12 +80,12 @@
         )
         for name, each in rates.items()
     ]
-    await asyncio.gather(*asking)
+    await asyncio.gather(*callers)
     await site.close()
     return site
 
 
-async def _lose_holder(site):
+async def _replace_lease_holder(site):
     await asyncio.sleep(20.0)
     await site.replace_holder(pause=4.0)
 
@@ -92,23 +93,27 @@
 class RareModelsTest(unittest.TestCase):
     def _check(self, seed, **fields):
         with virtual_time.running() as runner:
-            site = runner.run(_play_rare_models(seed, **fields))
-        asked, never = site.never_served()
+            site = runner.run(_run_rare_models(seed, **fields))
+        requested, never_served = site.never_served()
         self.assertFalse(any(engine.crashed for engine in site.engines))
-        self.assertGreater(len(asked), 15)
+        self.assertGreater(len(requested), 15)
         self.assertLessEqual(
-            len(never),
-            placement_site.allowed_never(len(asked)),
-            f"seed {seed}: never served {never}",
+            len(never_served),
+            placement_site.allowed_never(len(requested)),
+            f"seed {seed}: never served {never_served}",
         )
 
-    def test_a_model_asked_for_all_day_gets_its_turn(self):
-        """Guards against models that are refused to every caller."""
+    def test_rarely_requested_models_are_served(self):
+        """Guards against models that are refused to every caller.
+
+        Each request for a rare model is worth less than what its load would
+        displace.
+        """
         for seed in range(6):
             self._check(seed)
 
-    def test_a_lost_holder_does_not_begin_the_line_anew(self):
-        """Guards against turns that are forgotten with the placing host."""
+    def test_waiting_times_survive_a_change_of_the_lease_holder(self):
+        """Guards against waiting times lost with the planner host."""
         for seed in range(6):
             self._check(seed, lost_holder=True)
 
@@ -119,24 +124,26 @@
         models=names, engines=engines, places=places, loaded=[[]] * engines
     )
     site.start()
-    asking = [
+    callers = [
         placement_site.ask(
             site, model=name, rate=1.0, seconds=seconds, seed=seed
         )
         for name in names
     ]
 
-    async def lose_holder():
+    async def replace_lease_holder():
         await asyncio.sleep(lost_at)
         await site.replace_holder(pause=HOLDER_PAUSE_SECONDS)
 
-    await asyncio.gather(*asking, lose_holder())
+    await asyncio.gather(*callers, replace_lease_holder())
     longest = max(site.longest_unserved(name, clock.now()) for name in names)
     await site.close()
     return site, longest
 
 
 class LongestWaitTest(unittest.TestCase):
+    # Guards against loads that never start, also when the planner lease holder
+    # changes.
     @hypothesis.given(
         models=st.integers(4, 10),
         engines=st.integers(1, 4),
@@ -162,22 +169,22 @@
 
 
 class RareAdaptersTest(unittest.TestCase):
-    def _play(self, seed, rate):
+    def _run_site(self, seed, rate):
         with virtual_time.running() as runner:
-            return runner.run(_play_adapters(seed, rate=rate))
+            return runner.run(_run_adapters(seed, rate=rate))
 
-    def test_adapters_in_use_do_not_keep_their_places_for_good(self):
-        """Guards against adapters that never find a place on their engine."""
+    def test_adapters_in_use_do_not_keep_their_places_forever(self):
+        """Guards against adapters that never get a place on their engine."""
         for seed in range(6):
-            site = self._play(seed, rate=8.0)
-            _, never = site.never_served()
-            self.assertEqual([], never, f"seed {seed}")
+            site = self._run_site(seed, rate=8.0)
+            _, never_served = site.never_served()
+            self.assertEqual([], never_served, f"seed {seed}")
             self.assertFalse(site.engines[0].crashed, f"seed {seed}")
 
     def test_an_adapter_in_use_keeps_its_place_until_its_runs_end(self):
-        """Guards against one adapter too many, at which an engine crashes."""
+        """Guards against engine crashes by more adapters than places."""
         for seed in range(6):
-            site = self._play(seed, rate=3.0)
+            site = self._run_site(seed, rate=3.0)
             self.assertFalse(site.engines[0].crashed, f"seed {seed}")
 
 
