--- a/packages/endivestream/src/endivestream/process/confirmations.py
+++ b/packages/endivestream/src/endivestream/process/confirmations.py
@@ -1,9 +1,10 @@
-"""When a change may be confirmed to whoever made it.
+"""Decides when a change may be confirmed to its author.
 
-A confirmed change holds everywhere within a bound. An entry host that the
-leader does not reach acts without it until its lease ends, which is later. So
-a change is confirmed once all hosts have it, or so late that the last lease
-without it ends within the bound. Times are seconds.
+A confirmed change is in force on all entry hosts within a bound. An entry host
+that the leader cannot reach acts on the old state until its lease expires,
+which is later. A change is therefore confirmed once all hosts have received it,
+or once the last lease without it expires within the bound. Times are in
+seconds.
 """
 
 from __future__ import annotations
@@ -22,33 +23,33 @@
 
 @dataclasses.dataclass(kw_only=True)
 class _Rollout:
-    """The newest configuration, on its way to entry hosts.
+    """Distribution of the newest configuration to entry hosts.
 
     Attributes:
-        version: The version.
-        begun: When it was committed, or found by a new leader.
-        lacking: Hosts that may act on an older one.
+        version: The version of the configuration.
+        started_at: When it was committed, or found by a new leader.
+        pending_hosts: Hosts that may act on an older version.
     """
 
     version: int
-    begun: float
-    lacking: set[str]
+    started_at: float
+    pending_hosts: set[str]
 
 
-class _Leaving(NamedTuple):
-    """A target that leaves.
+class _Departure(NamedTuple):
+    """Deregistration of a target.
 
     Attributes:
-        since: When it said so.
-        position: The table without it.
+        started_at: When the target deregistered.
+        position: First position of the table without the target.
     """
 
-    since: float
+    started_at: float
     position: site_messages.Position
 
 
 class Confirmations:
-    """Changes that wait for entry hosts, during one term of leadership."""
+    """Changes that wait for entry hosts during one term of leadership."""
 
     def __init__(
         self,
@@ -57,80 +58,83 @@
         version: int,
         positions: Callable[[], Iterable[site_messages.Position]],
     ) -> None:
-        """Waits for nothing yet.
+        """Starts without waiting changes.
 
         Args:
-            lease: How long hosts may act on what they were told.
-            version: The configuration that the leader has found.
-            positions: Returns the table that each host with a lease has.
+            lease: Duration of the entry hosts' leases.
+            version: Configuration version at the start of the term.
+            positions: Returns the table position of each host with a lease.
         """
         self._lease = lease
-        self._began = clock.now()
+        self._term_started_at = clock.now()
         self._positions = positions
         self._rollout = _Rollout(
-            version=version, begun=self._began, lacking=set()
+            version=version,
+            started_at=self._term_started_at,
+            pending_hosts=set(),
         )
-        self._leaving: dict[str, _Leaving] = {}
-        self._heard = asyncio.Event()
+        self._departures: dict[str, _Departure] = {}
+        self._state_changed = asyncio.Event()
 
     @property
     def rollout_begun(self) -> float:
-        """When the newest configuration was committed or found."""
-        return self._rollout.begun
+        """When the newest configuration was committed, or the term began."""
+        return self._rollout.started_at
 
-    # What the leader hears.
+    # Events received by the leader.
 
     def committed(self, version: int, hosts: Iterable[str]) -> None:
-        """Notes a new configuration, which none of some hosts has."""
+        """Records a new configuration that none of these hosts has yet."""
         self._rollout = _Rollout(
-            version=version, begun=clock.now(), lacking=set(hosts)
+            version=version, started_at=clock.now(), pending_hosts=set(hosts)
         )
 
     def confirmed(self, host: str, version: int) -> None:
-        """Notes that a host acts on a configuration, or on another table."""
+        """Records that a host acts on a configuration or a newer table."""
         rollout = self._rollout
-        if version >= rollout.version and host in rollout.lacking:
-            rollout.lacking.discard(host)
-            if not rollout.lacking:
+        if version >= rollout.version and host in rollout.pending_hosts:
+            rollout.pending_hosts.discard(host)
+            if not rollout.pending_hosts:
                 logs.event(
                     "configuration_everywhere",
                     version=rollout.version,
-                    seconds=clock.now() - rollout.begun,
+                    seconds=clock.now() - rollout.started_at,
                 )
-        self._heard.set()
+        self._state_changed.set()
 
     def forget_host(self, host: str) -> None:
-        """Notes that a host's lease is over."""
-        self._rollout.lacking.discard(host)
-        self._heard.set()
+        """Records that a host's lease has expired."""
+        self._rollout.pending_hosts.discard(host)
+        self._state_changed.set()
 
     def stays(self, target: str) -> None:
-        """Notes that a target does not leave, or not any more."""
-        self._leaving.pop(target, None)
+        """Records that a target is registered, and cancels its departure."""
+        self._departures.pop(target, None)
 
     def forget_all_but(self, targets: Collection[str]) -> None:
-        """Forgets targets that are long gone."""
-        for name in [n for n in self._leaving if n not in targets]:
-            del self._leaving[name]
+        """Removes the departures of all targets except these."""
+        for name in [n for n in self._departures if n not in targets]:
+            del self._departures[name]
 
-    # What waits.
+    # Waiting changes.
 
     async def wait_for_configuration(self, *, bound: float) -> None:
         """Waits until the newest configuration may be confirmed.
 
         Args:
-            bound: Seconds within which it must then be in force.
+            bound: Seconds after the confirmation within which it must be in
+                force.
         """
-        everywhere = await self._wait(
-            lambda: not self._rollout.lacking,
-            since=self._rollout.begun,
+        everywhere = await self._wait_for_hosts(
+            lambda: not self._rollout.pending_hosts,
+            started_at=self._rollout.started_at,
             bound=bound,
         )
         if not everywhere:
             logs.warn(
                 "configuration_not_everywhere",
                 version=self._rollout.version,
-                lacking=len(self._rollout.lacking),
+                lacking=len(self._rollout.pending_hosts),
             )
 
     async def wait_for_leave(
@@ -140,41 +144,57 @@
         *,
         bound: float,
     ) -> None:
-        """Waits until a target may be told that it gets nothing new.
+        """Waits until a target's departure may be confirmed to it.
 
         Args:
-            target: Its name.
-            position: The table that says so.
-            bound: Seconds within which that must then hold.
+            target: The target's name.
+            position: First position of the table without the target.
+            bound: Seconds after the confirmation within which the target must
+                receive no new requests.
         """
-        leaving = self._leaving.setdefault(
-            target, _Leaving(clock.now(), position)
+        departure = self._departures.setdefault(
+            target, _Departure(clock.now(), position)
         )
-        told = await self._wait(
-            lambda: all(has >= leaving.position for has in self._positions()),
-            since=leaving.since,
+        is_everywhere = await self._wait_for_hosts(
+            lambda: all(
+                held >= departure.position for held in self._positions()
+            ),
+            started_at=departure.started_at,
             bound=bound,
         )
-        if not told:
+        if not is_everywhere:
             logs.warn("leave_not_everywhere", target=target)
 
-    async def _wait(
-        self, has_all: Callable[[], bool], *, since: float, bound: float
+    async def _wait_for_hosts(
+        self,
+        is_everywhere: Callable[[], bool],
+        *,
+        started_at: float,
+        bound: float,
     ) -> bool:
-        """Waits until all known hosts have a change made at some time.
+        """Waits until all known hosts have received a change.
+
+        Args:
+            is_everywhere: Returns whether all hosts have received the change.
+            started_at: When the change was made.
+            bound: Seconds after the confirmation within which the change must
+                be in force.
 
         Returns:
-            Whether they have; False once it may be confirmed all the same.
+            True if all hosts have received the change; False if the change may
+            be confirmed because all leases without it expire in time.
         """
-        longest = max(0.0, self._lease - bound)
-        # Hosts that have not found this leader yet may act on what the one
-        # before gave them.
-        await asyncio.sleep(max(0.0, self._began + longest - clock.now()))
-        while not has_all():
-            self._heard.clear()
+        max_wait = max(0.0, self._lease - bound)
+        # Hosts that have not contacted this leader yet may act on a lease from
+        # the previous one.
+        await asyncio.sleep(
+            max(0.0, self._term_started_at + max_wait - clock.now())
+        )
+        while not is_everywhere():
+            self._state_changed.clear()
             try:
-                async with asyncio.timeout(since + longest - clock.now()):
-                    await self._heard.wait()
+                async with asyncio.timeout(started_at + max_wait - clock.now()):
+                    await self._state_changed.wait()
             except TimeoutError:
                 return False
         return True
--- a/packages/endivestream/src/endivestream/process/placer.py
+++ b/packages/endivestream/src/endivestream/process/placer.py
@@ -1,4 +1,4 @@
-"""The task that plans placement and sends orders to engines."""
+"""Plans model placement and sends load orders to engines."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from endivestream.version import placement
 from endivestream.version import replicate
 
-# An order whose effect is not seen after this long is sent again, under the
-# same fencing token: it was lost, or is late, and loading twice is one load.
+# An order without a reported effect is sent again after this time with the same
+# fencing token. It was lost or is late; a repeated load has no further effect.
 _RESEND_SECONDS = 5.0
-_ORDER_SECONDS = 2.0
+_ORDER_TIMEOUT_SECONDS = 2.0
 
 
 class Placer:
-    """Plans on a timer; every order is an intent in the log first."""
+    """Plans periodically; commits each order to the log before sending it."""
 
     def __init__(
         self,
@@ -39,48 +39,50 @@
         self._pool = pool
         self._plan_seconds = plan_seconds
         self._loads_at_once = loads_at_once
-        # A new leader starts with one load: what the last one started within
-        # the last second is not known here.
-        self._pace = placement.Pace(rate=loads_per_second, now=time.monotonic())
-        self._sent: dict[tuple[str, int, str], float] = {}
-        self._unplaced: set[str] = set()
-        self._refused: set[tuple[str, int]] = set()
+        # A new leader starts with one load, because it has no record of the
+        # loads that the previous leader started within the last second.
+        self._load_rate = placement.Pace(
+            rate=loads_per_second, now=time.monotonic()
+        )
+        self._sent_at: dict[tuple[str, int, str], float] = {}
+        self._unplaced_models: set[str] = set()
+        self._refused_targets: set[tuple[str, int]] = set()
         self._task: asyncio.Task[None] | None = None
-        self._sending: set[asyncio.Task[None]] = set()
+        self._send_tasks: set[asyncio.Task[None]] = set()
 
     @property
     def unplaced(self) -> list[str]:
-        """Models that lack a copy and have no room."""
-        return sorted(self._unplaced)
+        """Models that lack a copy and fit on no engine."""
+        return sorted(self._unplaced_models)
 
     def start(self) -> None:
-        """Starts to plan."""
+        """Starts planning."""
         self._task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
-        """Stops to plan; orders under way may still reach their engines."""
-        await tasks.cancel((self._task, *self._sending))
+        """Stops planning; orders already sent may still reach their engines."""
+        await tasks.cancel((self._task, *self._send_tasks))
 
     async def _run(self) -> None:
         while True:
             await asyncio.sleep(self._plan_seconds)
             try:
-                await self._round()
+                await self._run_round()
             except (replicate.NotLeaderError, replicate.LostError) as error:
-                # The next leader plans from the ledger; an intent that did
-                # commit is there, and its order is sent by that leader.
+                # The next leader plans from the ledger. It sends the orders of
+                # all intents that were committed.
                 logs.warn("plan_stopped", why=error)
             except OSError as error:
                 logs.warn("plan_stopped", why=error)
                 return
 
-    async def _round(self) -> None:
+    async def _run_round(self) -> None:
         now = time.monotonic()
         live = self._targets.live(now)
         for session in live:
             if session.info.kind == "engine":
                 await self._register(session)
-                await self._confirm(session)
+                await self._confirm_loads(session)
         engines = {s.info.name for s in live if s.info.kind == "engine"}
         state = self._replicator.state
         plan = placement.plan(
@@ -88,18 +90,18 @@
             state.ledger.targets,
             live=engines,
             most_loads=self._loads_at_once,
-            most_new=self._pace.allowed(now),
+            most_new=self._load_rate.allowed(now),
         )
-        self._pace.started(len(plan.loads))
+        self._load_rate.started(len(plan.loads))
         for load in plan.loads:
-            await self._intend(load)
+            await self._commit_intent(load)
         self._report_unplaced(plan.unplaced)
-        self._send_due(live, now)
+        self._send_due_orders(live, now)
 
     async def _register(self, session: targets_lib.Session) -> None:
         info = session.info
-        known = self._replicator.state.ledger.targets.get(info.name)
-        if known is not None and known.incarnation >= info.incarnation:
+        recorded = self._replicator.state.ledger.targets.get(info.name)
+        if recorded is not None and recorded.incarnation >= info.incarnation:
             return
         result = await self._replicator.propose(
             ledger_lib.RegisterTarget(
@@ -111,17 +113,20 @@
                 loaded=info.loaded,
             )
         )
-        name = (info.name, info.incarnation)
-        if isinstance(result, ledger_lib.Refused) and name not in self._refused:
-            self._refused.add(name)
+        key = (info.name, info.incarnation)
+        if (
+            isinstance(result, ledger_lib.Refused)
+            and key not in self._refused_targets
+        ):
+            self._refused_targets.add(key)
             logs.warn("target_refused", target=info.name, why=result.reason)
 
-    async def _confirm(self, session: targets_lib.Session) -> None:
+    async def _confirm_loads(self, session: targets_lib.Session) -> None:
         info = session.info
-        known = self._replicator.state.ledger.targets.get(info.name)
-        if known is None or known.incarnation != info.incarnation:
+        recorded = self._replicator.state.ledger.targets.get(info.name)
+        if recorded is None or recorded.incarnation != info.incarnation:
             return
-        for model, entry in list(known.entries.items()):
+        for model, entry in list(recorded.entries.items()):
             if entry.loaded or model not in session.loaded:
                 continue
             await self._replicator.propose(
@@ -129,10 +134,10 @@
                     target=info.name, incarnation=info.incarnation, model=model
                 )
             )
-            self._sent.pop((info.name, info.incarnation, model), None)
+            self._sent_at.pop((info.name, info.incarnation, model), None)
             logs.event("loaded", target=info.name, model=model)
 
-    async def _intend(self, load: placement.Load) -> None:
+    async def _commit_intent(self, load: placement.Load) -> None:
         result = await self._replicator.propose(
             ledger_lib.IntendLoad(
                 target=load.target,
@@ -163,28 +168,30 @@
     def _report_unplaced(self, unplaced: list[placement.Unplaced]) -> None:
         names = {copy.model for copy in unplaced}
         for copy in unplaced:
-            if copy.model not in self._unplaced:
+            if copy.model not in self._unplaced_models:
                 logs.warn(
                     "no_room",
                     model=copy.model,
                     memory=copy.memory,
                     largest_free=copy.largest_free,
                 )
-        self._unplaced = names
+        self._unplaced_models = names
 
-    def _send_due(self, live: list[targets_lib.Session], now: float) -> None:
+    def _send_due_orders(
+        self, live: list[targets_lib.Session], now: float
+    ) -> None:
         for session in live:
             info = session.info
-            known = self._replicator.state.ledger.targets.get(info.name)
-            if known is None or known.incarnation != info.incarnation:
+            recorded = self._replicator.state.ledger.targets.get(info.name)
+            if recorded is None or recorded.incarnation != info.incarnation:
                 continue
-            for model, entry in known.entries.items():
-                name = (info.name, info.incarnation, model)
-                sent = self._sent.get(name)
-                due = sent is None or now - sent > _RESEND_SECONDS
+            for model, entry in recorded.entries.items():
+                key = (info.name, info.incarnation, model)
+                sent_at = self._sent_at.get(key)
+                due = sent_at is None or now - sent_at > _RESEND_SECONDS
                 if entry.loaded or not due:
                     continue
-                self._sent[name] = now
+                self._sent_at[key] = now
                 order = {
                     "order": "load",
                     "incarnation": info.incarnation,
@@ -192,11 +199,11 @@
                     "memory": entry.memory,
                     "fence": [self._replicator.term, entry.fence],
                 }
-                task = asyncio.create_task(self._send(info.url, order))
-                self._sending.add(task)
-                task.add_done_callback(self._sending.discard)
+                task = asyncio.create_task(self._send_order(info.url, order))
+                self._send_tasks.add(task)
+                task.add_done_callback(self._send_tasks.discard)
 
-    async def _send(self, url: str, order: dict[str, object]) -> None:
+    async def _send_order(self, url: str, order: dict[str, object]) -> None:
         exchange = exchange_lib.Exchange(pool=self._pool, url=url)
         try:
             await exchange.start(
@@ -204,16 +211,17 @@
                 "/endivestream/orders",
                 {"Content-Type": "application/json"},
                 msgspec.json.encode(order),
-                connect_seconds=_ORDER_SECONDS,
+                connect_seconds=_ORDER_TIMEOUT_SECONDS,
             )
-            head = await exchange.head(seconds=_ORDER_SECONDS)
+            head = await exchange.head(seconds=_ORDER_TIMEOUT_SECONDS)
             body = b""
-            async for chunk in exchange.chunks(silence=_ORDER_SECONDS):
+            async for chunk in exchange.chunks(silence=_ORDER_TIMEOUT_SECONDS):
                 body += chunk
             if head.status != 200:
                 logs.warn("order_refused", url=url, why=body.decode())
         except exchange_lib.ExchangeError as error:
-            # Lost or late: its memory stays reserved, and it is sent again.
+            # The order is lost or late: its memory stays reserved, and it is
+            # sent again.
             logs.warn("order_unanswered", url=url, error=error)
         finally:
             exchange.close()
--- a/packages/endivestream/src/endivestream/process/push_relay.py
+++ b/packages/endivestream/src/endivestream/process/push_relay.py
@@ -1,8 +1,8 @@
 """Receives the leader's pushes through a relay, or relays them to others.
 
 Correctness does not depend on relays: renewals go directly to the leader
-several times a second and return whatever a relay has lost. If a host's relay
-does not answer, the leader pushes to the host directly again.
+several times a second and return all updates that a relay did not deliver. If
+a host's relay does not answer, the leader pushes to the host directly again.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 from endivestream.connection import links
 from endivestream.connection import relays as relays_lib
 
-# Interval of requests to the relay. A lost relay is detected within this
-# interval plus the answer timeout.
+# Interval of requests to the relay. An unreachable relay is detected within
+# this interval plus the answer timeout.
 _FOLLOW_INTERVAL_SECONDS = 0.6
 _ANSWER_TIMEOUT_SECONDS = 0.25
 # A follower expires this long after its last request; longer than several
@@ -62,19 +62,19 @@
             on_push: Called with each message that a relay forwards.
             changed: Called when this host's relay has changed.
             has_lease: Returns whether this host holds a valid lease.
-            meter: Counts what messages cost.
+            meter: Records the time spent on messages.
         """
         self._host = host
         self._domain = domain
         self._context = context
         self._on_push = on_push
-        self._changed = changed
+        self._on_relay_changed = changed
         self._has_lease = has_lease
         self._meter = meter
         self._domain_relays = relays_lib.select_relays((), domain)
         self._relay = ""
         self._link: links.Link | None = None
-        self._avoided: dict[str, float] = {}
+        self._avoided_until: dict[str, float] = {}
         # Hosts that this one forwards pushes to: socket and time of the last
         # request, by name.
         self._followers: dict[str, tuple[bytes, float]] = {}
@@ -89,9 +89,11 @@
     @property
     def followers(self) -> list[bytes]:
         """Sockets of the hosts that this one forwards pushes to."""
-        oldest = clock.now() - _FOLLOWER_EXPIRY_SECONDS
+        expired_before = clock.now() - _FOLLOWER_EXPIRY_SECONDS
         return [
-            peer for peer, asked in self._followers.values() if asked >= oldest
+            peer
+            for peer, requested_at in self._followers.values()
+            if requested_at >= expired_before
         ]
 
     def start(self) -> None:
@@ -113,7 +115,7 @@
     def answer(
         self, peer: bytes, message: site_messages.Follow
     ) -> site_messages.Following:
-        """Answers a host that asks to follow this one."""
+        """Answers a host that requests to follow this one."""
         is_relay = (
             self._host in self._domain_relays.relays and self._has_lease()
         )
@@ -136,9 +138,11 @@
     async def _follow(self) -> None:
         """Renews the request to this host's relay, or switches relays."""
         now = clock.now()
-        self._avoided = {n: t for n, t in self._avoided.items() if t > now}
+        self._avoided_until = {
+            n: t for n, t in self._avoided_until.items() if t > now
+        }
         chosen = relays_lib.choose_relay(
-            self._domain_relays, host=self._host, avoided=self._avoided
+            self._domain_relays, host=self._host, avoided=self._avoided_until
         )
         if chosen is None:
             self._set_relay("")
@@ -159,12 +163,12 @@
         if await self._request_follow(self._link):
             self._set_relay(chosen.name)
         else:
-            self._avoided[chosen.name] = clock.now() + _AVOID_SECONDS
+            self._avoided_until[chosen.name] = clock.now() + _AVOID_SECONDS
             self._set_relay("")
             await self._close_link()
 
     async def _request_follow(self, link: links.Link) -> bool:
-        """Asks a host to relay pushes; returns whether it accepts."""
+        """Requests relayed pushes from a host; returns whether it accepts."""
         try:
             answer = await link.request(
                 site_messages.Follow(host=self._host),
@@ -183,7 +187,7 @@
         if name != self._relay:
             logs.event("relay_changed", peer=name, before=self._relay)
             self._relay = name
-            self._changed()
+            self._on_relay_changed()
 
     async def _close_link(self) -> None:
         link, self._link = self._link, None
--- a/packages/endivestream/src/endivestream/process/steward.py
+++ b/packages/endivestream/src/endivestream/process/steward.py
@@ -1,9 +1,10 @@
-"""The leader's care for the log's members: newcomers, losses, repairs.
+"""Membership changes of the replicated log, made by the leader.
 
-Suspicion elects within a second; it does not exclude. A voter is replaced only
-after a long silence, by an operator, or when its host came back with a new
-disk. A replacement counts only once it has caught up and synced, so a second
-loss right after the repair still leaves a majority that has everything.
+A suspected failure starts an election within a second, but does not remove a
+voter. A voter is replaced only after a long silence, by an operator, or when
+its host returned with a new disk. A learner is promoted only once it has caught
+up and synced, so a second failure right after the repair still leaves a
+majority that has all committed entries.
 """
 
 from __future__ import annotations
@@ -18,29 +19,29 @@
 from endivestream.version import members as members_lib
 from endivestream.version import replicate
 
-_ROUND_SECONDS = 0.2
-# A learner that asks no more has gone; its place is not kept for ever.
-_JOIN_SECONDS = 10.0
-# A learner is close enough to the end to vote.
-_CLOSE_ENTRIES = 64
+_ROUND_INTERVAL_SECONDS = 0.2
+# A learner that has not requested to join for this time is removed.
+_JOIN_EXPIRY_SECONDS = 10.0
+# A learner that lags by at most this many entries may be promoted.
+_MAX_LAG_ENTRIES = 64
 
 
 class _Change(NamedTuple):
-    """One step in the members.
+    """One membership change.
 
     Attributes:
-        what: `learning`, `promoted` or `removed`, for the log line.
-        member: Whom it concerns.
-        members: What they become.
+        kind: `learning`, `promoted` or `removed`, for the log line.
+        member: The member that is added, promoted or removed.
+        members: The members after the change.
     """
 
-    what: str
+    kind: str
     member: members_lib.Member
     members: members_lib.Members
 
 
 class Steward:
-    """Changes the members, one step at a time."""
+    """Makes membership changes, one at a time."""
 
     def __init__(
         self,
@@ -48,28 +49,28 @@
         replicator: replicate.Replicator,
         wanted: int,
         replace_seconds: float,
-        superseded_seconds: float = _JOIN_SECONDS,
+        superseded_seconds: float = _JOIN_EXPIRY_SECONDS,
     ) -> None:
-        """Starts nothing yet.
+        """Makes no changes before `start`.
 
         Args:
-            replicator: The leading replica.
-            wanted: Voters that there should be.
-            replace_seconds: A voter silent for so long gives its place to a
+            replicator: The leader's replica.
+            wanted: Target number of voters.
+            replace_seconds: Silence after which a voter is replaced by a
                 caught-up learner.
-            superseded_seconds: The same for a voter whose host asks to join
+            superseded_seconds: The same for a voter whose host requests to join
                 under another identity.
         """
         self._superseded_seconds = superseded_seconds
         self._replicator = replicator
         self._wanted = wanted
         self._replace_seconds = replace_seconds
-        self._asking: dict[str, tuple[members_lib.Member, float]] = {}
+        self._join_requests: dict[str, tuple[members_lib.Member, float]] = {}
         self._to_remove: set[str] = set()
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Starts to look after the members."""
+        """Starts making membership changes."""
         self._task = tasks.start(self._run(), type(self).__name__)
 
     async def close(self) -> None:
@@ -77,11 +78,18 @@
         await tasks.cancel([self._task])
 
     def join(self, member: members_lib.Member) -> None:
-        """Notes that a replica asks to learn."""
-        self._asking[member.identity] = (member, time.monotonic())
+        """Records a replica's request to join as a learner."""
+        self._join_requests[member.identity] = (member, time.monotonic())
 
     def remove(self, name: str) -> str:
-        """Marks a member to be taken out; returns why not, or empty."""
+        """Marks a member for removal.
+
+        Args:
+            name: The member's name, or the start of its identity.
+
+        Returns:
+            The reason for a refusal, or empty.
+        """
         found = [
             member
             for member in self._replicator.replica.members.all
@@ -100,20 +108,22 @@
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(_ROUND_SECONDS)
+            await asyncio.sleep(_ROUND_INTERVAL_SECONDS)
             now = time.monotonic()
-            for identity, (_, asked) in list(self._asking.items()):
-                if now - asked > _JOIN_SECONDS:
-                    del self._asking[identity]
-            self._round()
-
-    def _round(self) -> None:
-        """Makes at most one change: the first that is due."""
+            for identity, (_, requested_at) in list(
+                self._join_requests.items()
+            ):
+                if now - requested_at > _JOIN_EXPIRY_SECONDS:
+                    del self._join_requests[identity]
+            self._change_members()
+
+    def _change_members(self) -> None:
+        """Makes the first change that is due, if any."""
         members = self._replicator.replica.members
         change = (
             self._removal(members)
             or self._promotion(members)
-            or self._newcomer(members)
+            or self._admission(members)
         )
         if change is None:
             return
@@ -121,7 +131,7 @@
             self._to_remove.discard(change.member.identity)
             logs.event(
                 "members",
-                change=change.what,
+                change=change.kind,
                 member=change.member.name,
                 identity=change.member.identity[:8],
                 voters=len(change.members.voters),
@@ -131,28 +141,30 @@
     def _superseded(
         self, members: members_lib.Members
     ) -> list[members_lib.Member]:
-        """Returns voters that are silent while their host asks anew.
+        """Returns silent voters whose host requests to join again.
 
-        The silence tells a lost disk from a second host that was given the
-        name of a sound one.
+        The silence distinguishes a host with a lost disk from a second host
+        that was configured with the name of a healthy one.
         """
         replica = self._replicator.replica
-        newcomers = {
+        joining = {
             m.name: m.identity
             for m in (
                 *members.learners,
-                *(member for member, _ in self._asking.values()),
+                *(member for member, _ in self._join_requests.values()),
             )
         }
         return [
             m
             for m in members.voters
-            if newcomers.get(m.name, m.identity) != m.identity
+            if joining.get(m.name, m.identity) != m.identity
             and replica.silent_for(m.identity) > self._superseded_seconds
         ]
 
-    def _lost(self, members: members_lib.Members) -> list[members_lib.Member]:
-        """Returns voters that will not come back as themselves."""
+    def _failed_voters(
+        self, members: members_lib.Members
+    ) -> list[members_lib.Member]:
+        """Returns voters that are not expected to return."""
         replica = self._replicator.replica
         return [
             m
@@ -163,22 +175,22 @@
         ]
 
     def _removal(self, members: members_lib.Members) -> _Change | None:
-        lost = self._lost(members)
-        spare = self._caught_up(members)
-        for member in lost:
-            # With a replacement at hand that goes first; without one, a lost
-            # voter still leaves if the rest keeps the number wanted, or if
-            # its word was an operator's.
-            enough = len(members.voters) > self._wanted
-            ordered = member.identity in self._to_remove and not spare
-            if (enough or ordered) and len(members.voters) > 1:
+        failed = self._failed_voters(members)
+        caught_up = self._caught_up(members)
+        for member in failed:
+            # A caught-up learner is promoted before a failed voter is removed.
+            # Without one, the voter is removed only if enough voters remain or
+            # if an operator requested its removal.
+            has_surplus = len(members.voters) > self._wanted
+            is_requested = member.identity in self._to_remove and not caught_up
+            if (has_surplus or is_requested) and len(members.voters) > 1:
                 return _Change(
                     "removed", member, members.without(member.identity)
                 )
         for member in members.learners:
-            gone = member.identity not in self._asking
+            is_expired = member.identity not in self._join_requests
             silent = self._replicator.replica.silent_for(member.identity)
-            if gone and silent > _JOIN_SECONDS:
+            if is_expired and silent > _JOIN_EXPIRY_SECONDS:
                 return _Change(
                     "removed", member, members.without(member.identity)
                 )
@@ -191,21 +203,21 @@
         return [
             m
             for m in members.learners
-            if replica.matched(m.identity) + _CLOSE_ENTRIES >= replica.commit
+            if replica.matched(m.identity) + _MAX_LAG_ENTRIES >= replica.commit
             and replica.matched(m.identity) > 0
             and replica.silent_for(m.identity) < 1.0
         ]
 
     def _promotion(self, members: members_lib.Members) -> _Change | None:
-        sound = len(members.voters) - len(self._lost(members))
+        healthy_count = len(members.voters) - len(self._failed_voters(members))
         for member in self._caught_up(members):
-            if sound < self._wanted:
+            if healthy_count < self._wanted:
                 changed = members.promoted(member.identity)
                 return _Change("promoted", member, changed)
         return None
 
-    def _newcomer(self, members: members_lib.Members) -> _Change | None:
-        for member, _ in self._asking.values():
+    def _admission(self, members: members_lib.Members) -> _Change | None:
+        for member, _ in self._join_requests.values():
             if members.find(member.identity) is None:
                 return _Change("learning", member, members.with_learner(member))
         return None
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -9,21 +9,21 @@
 
 
 class PlacerTest(site.SiteTest):
-    """Orders to engines that are lost, late, or do not fit."""
+    """Load orders that are lost, late, or exceed an engine's memory."""
 
     more_settings = "[timing]\nplan_seconds = 0.05\nreport_seconds = 0.1\n"
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
-        resend = placer_lib._RESEND_SECONDS
+        resend_seconds = placer_lib._RESEND_SECONDS
         placer_lib._RESEND_SECONDS = 0.2
-        self.addCleanup(setattr, placer_lib, "_RESEND_SECONDS", resend)
+        self.addCleanup(setattr, placer_lib, "_RESEND_SECONDS", resend_seconds)
         await self.set_up_rules()
 
     def _ledger(self):
         return self.control.control.replicator.state.ledger.targets
 
-    async def test_model_without_a_copy_is_loaded_and_reachable(self):
+    async def test_model_without_copy_is_loaded_and_served(self):
         await self.add_engine("e1", loaded={}, options=_options())
         await site.until(
             lambda: (
@@ -36,9 +36,10 @@
         self.assertTrue(reply.whole)
 
     async def test_lost_orders_are_sent_again(self):
-        """The model becomes reachable although two orders were lost.
+        """Guards against models that are never loaded after lost orders.
 
-        The engine accepts them and forgets them; only its reports tell.
+        The engine accepts two orders without executing them; only its reports
+        show that the model is missing.
         """
         engine = await self.add_engine(
             "e1", loaded={}, options=_options(lose_orders=2)
@@ -47,10 +48,10 @@
         self.assertEqual(engine.options.lose_orders, 0)
 
     async def test_late_order_keeps_its_memory_reserved(self):
-        """The accelerator never holds more than it has.
+        """Guards against orders that exceed an engine's memory.
 
-        The engine carries its order out late, and resent ones with it. A
-        second model that would fit an empty engine must not be ordered.
+        The engine executes its order and the repeated ones late. A second model
+        that would fit an empty engine must not be ordered meanwhile.
         """
         engine = await self.add_engine(
             "e1",
--- a/tests/test_steward.py
+++ b/tests/test_steward.py
@@ -9,7 +9,7 @@
 
 
 class _Replica:
-    """Answers what the steward asks of the agreement."""
+    """Fake replica with the state that the steward reads."""
 
     def __init__(self, members):
         self.members = members
@@ -51,55 +51,58 @@
             "".join(m.name for m in members.learners),
         )
 
-    def _rounds(self, count=1):
+    def _run_rounds(self, count=1):
         for _ in range(count):
-            self.steward._round()
+            self.steward._change_members()
 
-    def test_short_silence_replaces_nobody(self):
-        """A suspicion elects; it does not exclude."""
+    def test_short_silence_replaces_no_voter(self):
+        """Guards against removing a voter for a short silence.
+
+        A suspected failure starts an election only.
+        """
         self.steward.join(_member("d"))
         self.replica.silent["id-b"] = 599.0
-        self._rounds(5)
+        self._run_rounds(5)
         self.assertEqual(self._names(), ("abc", "d"))
 
-    def test_long_silence_brings_the_spare_in_first(self):
+    def test_caught_up_learner_is_promoted_before_silent_voter_is_removed(self):
         self.steward.join(_member("d"))
         self.replica.behind["id-d"] = 900
         self.replica.silent["id-b"] = 601.0
-        self._rounds(5)
+        self._run_rounds(5)
         self.assertEqual(self._names(), ("abc", "d"))
         self.replica.behind["id-d"] = 0
-        self._rounds()
+        self._run_rounds()
         self.assertEqual(self._names(), ("abcd", ""))
-        self._rounds()
+        self._run_rounds()
         self.assertEqual(self._names(), ("acd", ""))
 
-    def test_host_with_a_new_disk_takes_its_own_place(self):
+    def test_host_with_new_disk_replaces_its_old_identity(self):
         self.steward.join(_member("b", "id-b2"))
         self.replica.silent["id-b"] = 30.0
-        self._rounds(5)
+        self._run_rounds(5)
         identities = [m.identity for m in self.replica.members.voters]
         self.assertEqual(identities, ["id-a", "id-c", "id-b2"])
 
-    def test_second_host_with_a_sound_voters_name_replaces_nobody(self):
-        """A copied settings file must not push a working voter out."""
+    def test_duplicate_host_name_replaces_no_healthy_voter(self):
+        """Guards against a copied settings file that evicts a healthy voter."""
         self.steward.join(_member("b", "id-b2"))
-        self._rounds(5)
+        self._run_rounds(5)
         self.assertEqual(self._names(), ("abc", "b"))
 
-    def test_operator_removes_at_once_also_without_a_spare(self):
+    def test_operator_removes_voter_without_replacement(self):
         self.assertEqual(self.steward.remove("b"), "")
-        self._rounds()
+        self._run_rounds()
         self.assertEqual(self._names(), ("ac", ""))
 
-    def test_operator_cannot_remove_the_leader_or_an_unknown_one(self):
+    def test_operator_cannot_remove_leader_or_unknown_voter(self):
         self.assertIn("leads at the moment", self.steward.remove("a"))
         self.assertIn("unknown voter 'x'", self.steward.remove("x"))
 
-    def test_learner_that_asks_no_more_is_dropped(self):
+    def test_learner_without_join_requests_is_removed(self):
         self.steward.join(_member("d"))
-        self._rounds()
-        self.steward._asking.clear()
+        self._run_rounds()
+        self.steward._join_requests.clear()
         self.replica.silent["id-d"] = 11.0
-        self._rounds()
+        self._run_rounds()
         self.assertEqual(self._names(), ("abc", ""))
