--- a/packages/endivestream/src/endivestream/process/control.py
+++ b/packages/endivestream/src/endivestream/process/control.py
@@ -1,4 +1,4 @@
-"""The control role: a replica of the log, and leadership while it has it."""
+"""The control role: a replica of the log, and the leader role if elected."""
 
 from __future__ import annotations
 
@@ -33,19 +33,20 @@
 from endivestream.version import state as state_lib
 from endivestream.version import storage as storage_lib
 
-# How often a replica that is no member asks to become one.
-_JOIN_SECONDS = 0.5
-# A leader answers within milliseconds, or a few disk syncs under load.
-_CALL_SECONDS = 0.6
-# Between two looks for a leader.
-_CALL_AGAIN_SECONDS = 0.03
+# Interval and timeout of the requests to join of a replica that is no member.
+_JOIN_INTERVAL_SECONDS = 0.5
+# Timeout of a request to the leader. It answers within milliseconds, or within
+# a few disk syncs under load.
+_CALL_TIMEOUT_SECONDS = 0.6
+# Delay between two attempts to reach the leader.
+_CALL_RETRY_SECONDS = 0.03
 
 
 class Leading(Protocol):
-    """What a control host does while it leads."""
+    """Leader role of a control host."""
 
     def start(self) -> None:
-        """Takes the lead over the state as it stands."""
+        """Starts the leader role with the current state."""
 
     async def close(self) -> None:
         """Stops."""
@@ -53,7 +54,7 @@
     def applied(
         self, command: state_lib.Command, result: state_lib.Result
     ) -> None:
-        """Follows a commit."""
+        """Handles a committed command."""
 
     async def handle(
         self, peer: bytes, message: messages.Message
@@ -62,11 +63,11 @@
 
 
 class Lead(NamedTuple):
-    """What a term of leadership is made of.
+    """Resources of the leader role during one term.
 
     Attributes:
-        replicator: The replica that leads.
-        push: Sends a message that was not asked for to peers.
+        replicator: The leader's replica.
+        push: Sends an unsolicited message to peers.
     """
 
     replicator: replicate.Replicator
@@ -74,7 +75,7 @@
 
 
 class Control:
-    """Answers all messages that hosts send to a control host."""
+    """Control role of a host: handles all messages that other hosts send."""
 
     def __init__(
         self,
@@ -88,24 +89,25 @@
         new_identity: str = "",
         meter: loop_meter.LoopMeter | None = None,
     ) -> None:
-        """Does not open anything yet.
+        """Opens no files or connections before `start`.
 
         Args:
             settings: The process's settings.
             context: The process's zmq context.
             pool: Connections to targets.
-            on_failed: Called once the log cannot go on.
+            on_failed: Called once the log cannot continue.
             keys: Keys of the links, if they are authenticated.
-            lead: Makes what this host does while it leads; by default the
-                parts of a host that schedules each request.
-            new_identity: Who this replica is in a new folder; random if empty.
-            meter: Counts what its messages cost.
+            lead: Creates the leader role for a term; by default the one that
+                schedules each request on the leader.
+            new_identity: Identity of this replica if the data folder is new;
+                random if empty.
+            meter: Records the time spent on messages.
         """
         self._meter = meter or loop_meter.LoopMeter()
-        self._lead = lead
+        self._leading_factory = lead
         self._new_identity = new_identity
         self._settings = settings
-        self._named = tuple(settings.peers.control)
+        self._configured_controls = tuple(settings.peers.control)
         self._keys = keys
         self._context = context
         self._pool = pool
@@ -126,14 +128,15 @@
         self._replicator: replicate.Replicator | None = None
         self._leading: Leading | None = None
         self._links: dict[str, links.Link] = {}
-        self._joining: asyncio.Task[None] | None = None
-        self._closing: set[asyncio.Task[None]] = set()
-        # When this replica heard of each team's level, by a steady clock.
-        self._credit_heard: dict[str, float] = {}
+        self._join_task: asyncio.Task[None] | None = None
+        self._close_tasks: set[asyncio.Task[None]] = set()
+        # When this replica received each team's credit level, by the monotonic
+        # clock.
+        self._credit_received_at: dict[str, float] = {}
 
     @property
     def address(self) -> str:
-        """Where it listens for other hosts."""
+        """Address on which this host listens for other hosts."""
         return self._server.address
 
     @property
@@ -144,13 +147,13 @@
 
     @property
     def leading(self) -> leading_lib.Leading | None:
-        """What it leads, or None while it does not lead."""
+        """The request-scheduling leader role, or None if not active."""
         leading = self._leading
         return leading if isinstance(leading, leading_lib.Leading) else None
 
     @property
     def live_targets(self) -> set[str]:
-        """Names of targets that may get new work; empty if it leads not."""
+        """Names of targets that may get new requests; empty if not leader."""
         if self.leading is None:
             return set()
         live = self.leading.dispatcher.targets.live(time.monotonic())
@@ -158,7 +161,7 @@
 
     @property
     def levels(self) -> dict[str, float]:
-        """Each team's credit in tokens; empty if it leads not."""
+        """Each team's credit in tokens; empty if not leader."""
         return self.leading.limiter.levels() if self.leading else {}
 
     async def start(
@@ -168,16 +171,18 @@
         alone: bool = False,
         founders: Sequence[members_lib.Member] = (),
     ) -> None:
-        """Reads the state back, then takes part.
+        """Reads the stored state, then joins the replication.
 
         Args:
-            form: Whether to form a new system in an empty folder.
-            founders: With `form`: its voters, the same on all of them.
-            alone: Whether to go on as the only voter.
+            form: Whether to form a new system if the data folder is empty.
+            founders: With `form`: the voters of the new system, identical on
+                all of them.
+            alone: Whether to continue as the only voter.
 
         Raises:
             storage_lib.CorruptError: The stored data is damaged.
-            OSError: It cannot be read, or the address cannot be used.
+            OSError: The stored data cannot be read, or the address cannot be
+                used.
         """
         if self._doorkeeper is not None:
             self._doorkeeper.start()
@@ -193,33 +198,36 @@
             timing=protocol.Timing(
                 heartbeat=timing.election_seconds / 5,
                 election=timing.election_seconds,
-                # Clocks that differ by less than a tenth in one election
-                # time keep leases apart; real ones differ by far less.
+                # Leases of two leaders do not overlap if clocks drift by
+                # less than a tenth during one election timeout; the drift
+                # of real clocks is far smaller.
                 lease=timing.election_seconds * 0.9,
             ),
             send=self._send,
-            on_applied=self._applied,
-            on_restored=self._hear_credit_anew,
+            on_applied=self._on_applied,
+            on_restored=self._restart_credit_refill,
             on_role=self._on_role,
             on_failed=self._on_failed,
         )
         if form and not founders:
-            form = not await self._finds_system()
+            form = not await self._system_exists()
         self._replicator.start(form=form, alone=alone, founders=founders)
-        self._hear_credit_anew()
-        self._joining = tasks.start(self._join(), "join")
+        self._restart_credit_refill()
+        self._join_task = tasks.start(self._join(), "join")
 
-    async def _finds_system(self) -> bool:
-        """Tells whether another control host belongs to a system.
+    async def _system_exists(self) -> bool:
+        """Returns whether another control host already belongs to a system.
 
-        The first host may have lost its disk and be started as it first was:
-        it would form a second system with empty rules, and callers' keys and
-        accepted orders would be gone (symptom: everything reverts).
+        The first host may have lost its disk and been started with the options
+        of its first start. It would then form a second system with empty
+        rules, without callers' keys and accepted orders (symptom: all changes
+        are reverted).
         """
-        for address in self._others():
+        for address in self._other_addresses():
             try:
                 answer = await self._link(address).request(
-                    messages.AskStatus(view="voters"), seconds=_JOIN_SECONDS
+                    messages.AskStatus(view="voters"),
+                    seconds=_JOIN_INTERVAL_SECONDS,
                 )
             except links.LinkDownError:
                 continue
@@ -229,19 +237,19 @@
         return False
 
     def set_controls(self, controls: Sequence[str]) -> None:
-        """Takes over the control hosts that changed settings name."""
-        self._named = tuple(controls)
+        """Sets the control hosts named by changed settings."""
+        self._configured_controls = tuple(controls)
 
-    def _others(self) -> list[str]:
-        return [a for a in self._named if a != self.address]
+    def _other_addresses(self) -> list[str]:
+        return [a for a in self._configured_controls if a != self.address]
 
     async def close(self) -> None:
-        """Stops in the reverse order."""
-        await tasks.cancel([self._joining])
+        """Stops all parts in reverse order of their start."""
+        await tasks.cancel([self._join_task])
         if self._replicator is not None:
             await self._replicator.close()
         self._on_role(False)
-        for task in list(self._closing):
+        for task in list(self._close_tasks):
             await task
         for link in self._links.values():
             await link.close()
@@ -252,69 +260,72 @@
     def _on_role(self, leads: bool) -> None:
         if self._leading is not None:
             task = asyncio.create_task(self._leading.close())
-            self._closing.add(task)
-            task.add_done_callback(self._closing.discard)
+            self._close_tasks.add(task)
+            task.add_done_callback(self._close_tasks.discard)
             self._leading = None
         if leads:
             self._leading = self._make_leading()
             self._leading.start()
 
     def _make_leading(self) -> Leading:
-        if self._lead is not None:
-            return self._lead(Lead(self.replicator, self._server.push))
+        if self._leading_factory is not None:
+            return self._leading_factory(
+                Lead(self.replicator, self._server.push)
+            )
         return leading_lib.Leading(
             settings=self._settings,
             replicator=self.replicator,
             pool=self._pool,
             push=self._server.push,
-            credit_heard=self._credit_heard,
+            credit_heard=self._credit_received_at,
         )
 
-    def _hear_credit_anew(self) -> None:
-        """Counts the refill of all teams from now.
+    def _restart_credit_refill(self) -> None:
+        """Restarts the credit refill of all teams at the current time.
 
-        What came in a snapshot or from the disk replaced levels heard of
-        earlier; refilled from then, a new low level would grow too much.
+        Levels from a snapshot or from the disk replace levels received
+        earlier. If the refill counted from the earlier time, a new low level
+        would grow too much.
         """
         levels = self.replicator.state.credit.levels
-        self._credit_heard.update(dict.fromkeys(levels, time.monotonic()))
+        self._credit_received_at.update(dict.fromkeys(levels, time.monotonic()))
 
-    def _applied(
+    def _on_applied(
         self, command: state_lib.Command, result: state_lib.Result
     ) -> None:
         if isinstance(command, credit_lib.SetAside):
             now = time.monotonic()
-            self._credit_heard.update(dict.fromkeys(command.levels, now))
+            self._credit_received_at.update(dict.fromkeys(command.levels, now))
         if self._leading is not None:
             self._leading.applied(command, result)
 
     async def call(
         self, message: messages.Message, *, seconds: float
     ) -> messages.Message | None:
-        """Has the leader answer a message, whichever host leads.
+        """Returns the leader's answer to a message.
 
-        The message must be one that may be handled twice: its answer can be
-        lost together with the leader.
+        Finds the leader first. The message must be idempotent, because it is
+        sent again if its answer is lost together with a leader.
 
         Args:
-            message: What to ask.
-            seconds: How long to look for a leader that answers.
+            message: The request.
+            seconds: Timeout for finding a leader that answers.
 
         Returns:
-            The answer, or None if there was none in time.
+            The answer, or None after the timeout.
         """
-        until = clock.now() + seconds
-        while (left := until - clock.now()) > 0:
-            answer = await self._call_once(message, left)
+        deadline = clock.now() + seconds
+        while (remaining := deadline - clock.now()) > 0:
+            answer = await self._call_once(message, remaining)
             if not isinstance(
                 answer, messages.NotLeader | messages.Lost | None
             ):
                 return answer
-            await asyncio.sleep(min(left, _CALL_AGAIN_SECONDS))
+            await asyncio.sleep(min(remaining, _CALL_RETRY_SECONDS))
         return None
 
     async def _call_once(
-        self, message: messages.Message, left: float
+        self, message: messages.Message, remaining: float
     ) -> messages.Message | None:
         if self.replicator.leads:
             return await self._handle(b"", message)
@@ -323,7 +334,7 @@
             return None
         try:
             return await self._link(address).request(
-                message, seconds=min(left, _CALL_SECONDS)
+                message, seconds=min(remaining, _CALL_TIMEOUT_SECONDS)
             )
         except links.LinkDownError as error:
             logs.warn("leader_unanswered", peer=address, why=error)
@@ -357,27 +368,27 @@
         )
 
     async def _join(self) -> None:
-        """Asks to be let in for as long as it is no member."""
-        turn = 0
+        """Requests to join for as long as this replica is no member."""
+        attempt = 0
         while True:
-            await asyncio.sleep(_JOIN_SECONDS)
+            await asyncio.sleep(_JOIN_INTERVAL_SECONDS)
             if self.replicator.replica.members.find(self.replicator.identity):
                 continue
-            others = self._others()
+            others = self._other_addresses()
             if not others:
                 continue
-            address = others[turn % len(others)]
-            turn += 1
+            address = others[attempt % len(others)]
+            attempt += 1
             try:
                 answer = await self._link(address).request(
                     messages.Join(member=self.replicator.me),
-                    seconds=_JOIN_SECONDS,
+                    seconds=_JOIN_INTERVAL_SECONDS,
                 )
                 leader = getattr(answer, "address", "")
                 if leader:
                     await self._link(leader).request(
                         messages.Join(member=self.replicator.me),
-                        seconds=_JOIN_SECONDS,
+                        seconds=_JOIN_INTERVAL_SECONDS,
                     )
             except links.LinkDownError as error:
                 logs.warn("join_unanswered", peer=address, why=error)
@@ -404,19 +415,20 @@
                     result = await self.replicator.propose(command)
                     return messages.Committed(result=result)
                 case messages.AskStatus(view=name, version=version):
-                    shown = views.view(
+                    view_data = views.view(
                         name,
                         version=version,
                         host=self._settings.host.name,
                         replicator=self.replicator,
                         leading=self.leading,
                     )
-                    return messages.Status(body=msgspec.json.encode(shown))
+                    return messages.Status(body=msgspec.json.encode(view_data))
                 case _:
                     answer = await leading.handle(peer, message)
                     if not self.replicator.leads:
-                        # It waited, perhaps frozen, and another leads by now:
-                        # credit or a place given here would be given twice.
+                        # While the handler waited, perhaps with the process
+                        # suspended, another host became leader. Credit or a
+                        # queue place granted here would be granted twice.
                         return messages.NotLeader(address="")
                     return answer
         except replicate.NotLeaderError as error:
--- a/packages/endivestream/src/endivestream/process/site_control.py
+++ b/packages/endivestream/src/endivestream/process/site_control.py
@@ -1,7 +1,7 @@
-"""A control host of a site: a replica of the log, and what it may answer.
+"""A control host of a site: a replica of the log and its external calls.
 
-Any control host takes calls of operators and targets and has the leader
-answer them, so that callers need not know who leads.
+Every control host accepts calls of operators and targets and forwards them to
+the leader, so callers need not find the leader.
 """
 
 from __future__ import annotations
@@ -30,11 +30,11 @@
 from endivestream.version import members as members_lib
 from endivestream.version import storage as storage_lib
 
-# Callers give a control host one second, more for a large body; an answer
-# that comes later is asked for again elsewhere.
-_ANSWER_SECONDS = 0.9
-_APPLY_SECONDS = 1.5
-# Between two looks at a disk that takes no bytes.
+# Callers wait one second for a control host, longer for a large body, and then
+# retry on another one.
+_ANSWER_TIMEOUT_SECONDS = 0.9
+_APPLY_TIMEOUT_SECONDS = 1.5
+# Interval between checks of a disk that is not writable.
 _DISK_SECONDS = 0.3
 
 
@@ -54,17 +54,17 @@
         self._pool = exchange_lib.Pool()
         self._engines = engines_lib.Engines(pool=self._pool, codec=codec)
         self._control = control_lib.Control(
-            settings=_product_settings(settings),
+            settings=_control_settings(settings),
             context=self._context,
             pool=self._pool,
             on_failed=on_failed,
-            lead=self._lead,
-            new_identity=_founder(settings.peers)
+            lead=self._make_leading,
+            new_identity=_founder_identity(settings.peers)
             if settings.first_start
             else "",
             meter=self._meter,
         )
-        self._seat = seat_lib.Seat(
+        self._planner_lease = seat_lib.Seat(
             host=settings.machine,
             settings=settings,
             engines=self._engines,
@@ -80,31 +80,32 @@
             departed=lambda: len(
                 self._control.replicator.state.departures.born
             ),
-            unplaced=lambda: self._seat.unplaced,
+            unplaced=lambda: self._planner_lease.unplaced,
             meter=self._meter,
         )
 
     @property
     def metrics(self) -> site_metrics.ControlMetrics:
-        """What this host counts; readable once it is started."""
+        """Metrics of this host; readable after `start`."""
         return self._metrics
 
-    def _lead(self, lead: control_lib.Lead) -> control_lib.Leading:
+    def _make_leading(self, lead: control_lib.Lead) -> control_lib.Leading:
         return site_leading.SiteLeading(
             settings=self._settings, lead=lead, meter=self._meter
         )
 
     async def start(self) -> None:
-        """Reads the state back, then takes part.
+        """Reads the stored state, then joins the replication.
 
         Raises:
             storage.CorruptError: The stored data is damaged.
-            OSError: It cannot be read, or the address cannot be used.
+            OSError: The stored data cannot be read, or the address cannot be
+                used.
         """
-        await self._until_writable()
+        await self._wait_until_writable()
         self._meter.start()
         founders = [
-            members_lib.Member(_founder(address), address, address)
+            members_lib.Member(_founder_identity(address), address, address)
             for address in self._settings.controls
         ]
         await self._control.start(
@@ -112,87 +113,90 @@
             and self._settings.peers in self._settings.controls,
             founders=founders,
         )
-        self._seat.start()
+        self._planner_lease.start()
 
-    async def _until_writable(self) -> None:
-        """Waits while the disk takes no bytes.
+    async def _wait_until_writable(self) -> None:
+        """Waits until the disk is writable.
 
-        A replica whose disk fails ends its process, because it cannot know
-        what lasts. Started again on a full disk it would end at its first
-        entry, over and over; so it waits here, and the others go on.
+        A replica whose disk fails ends its process, because the durability of
+        its writes is unknown. Restarted on a full disk, it would end again at
+        its first entry, repeatedly. It waits here instead, while the other
+        replicas continue.
         """
         folder = pathlib.Path(self._settings.data_folder)
-        refused = False
+        is_refused = False
         while True:
             try:
                 await asyncio.to_thread(storage_lib.check_writable, folder)
             except OSError as error:
-                if not refused:
+                if not is_refused:
                     logs.warn("disk_refuses", folder=folder, why=error)
-                refused = True
+                is_refused = True
                 await asyncio.sleep(_DISK_SECONDS)
                 continue
-            if refused:
+            if is_refused:
                 logs.event("disk_writes_again", folder=folder)
             return
 
     async def close(self) -> None:
-        """Hands leadership over and stops."""
-        await self._seat.close()
+        """Transfers leadership and stops."""
+        await self._planner_lease.close()
         await self._control.close()
         await self._meter.close()
         self._pool.close()
         self._context.destroy(linger=0)
 
     def set_controls(self, controls: Sequence[str]) -> None:
-        """Takes over the control hosts that changed settings name."""
+        """Sets the control hosts named by changed settings."""
         self._control.set_controls(controls)
 
     async def apply(self, document: document_lib.Document) -> bool:
-        """Has a document committed; False if that is not sure."""
+        """Commits a document through the leader; False if uncertain."""
         answer = await self._control.call(
-            site_messages.Apply(document=document), seconds=_APPLY_SECONDS
+            site_messages.Apply(document=document),
+            seconds=_APPLY_TIMEOUT_SECONDS,
         )
         return isinstance(answer, site_messages.Applied)
 
     async def read(self) -> bytes | None:
-        """Returns the newest document as it was sent; None if not sure."""
+        """Returns the source of the newest document; None if uncertain."""
         answer = await self._control.call(
-            site_messages.ReadDocument(), seconds=_ANSWER_SECONDS
+            site_messages.ReadDocument(), seconds=_ANSWER_TIMEOUT_SECONDS
         )
         if isinstance(answer, site_messages.DocumentRead):
             return answer.source
         return None
 
-    async def register(self, said: registry_lib.Registration) -> bool:
-        """Passes a target's report on; whether the leader has it."""
+    async def register(self, registration: registry_lib.Registration) -> bool:
+        """Forwards a target's report; returns whether the leader has it."""
         answer = await self._control.call(
-            site_messages.Register(said=said), seconds=_ANSWER_SECONDS
+            site_messages.Register(said=registration),
+            seconds=_ANSWER_TIMEOUT_SECONDS,
         )
         return isinstance(answer, site_messages.Registered)
 
     async def leave(self, name: str) -> bool:
-        """Passes a target's good-bye on; whether the leader has it."""
+        """Forwards a deregistration; returns whether the leader has it."""
         answer = await self._control.call(
-            site_messages.Deregister(name=name), seconds=_ANSWER_SECONDS
+            site_messages.Deregister(name=name), seconds=_ANSWER_TIMEOUT_SECONDS
         )
         return isinstance(answer, site_messages.Registered)
 
 
-def _founder(address: str) -> str:
-    """Returns the identity of a voter of the very first start.
+def _founder_identity(address: str) -> str:
+    """Returns the identity of a voter of a new system.
 
-    All founders must know each other's identities before they have spoken. A
-    host whose disk is lost is never started as a founder again, so it gets a
-    random identity and cannot vote under this one.
+    All founders need each other's identities before they communicate. A host
+    that lost its disk is never started as a founder again, so it gets a random
+    identity and cannot vote under this one.
     """
     return f"founder-{address}"
 
 
-def _product_settings(
+def _control_settings(
     settings: site_settings.SiteSettings,
 ) -> settings_lib.Settings:
-    """Returns the settings that the log and the links are made from."""
+    """Returns the settings of the control role, for its log and links."""
     base = settings_lib.Settings()
     return dataclasses.replace(
         base,
--- a/packages/endivestream/src/endivestream/process/views.py
+++ b/packages/endivestream/src/endivestream/process/views.py
@@ -1,4 +1,4 @@
-"""What operators ask a control leader to show, as JSON-ready data."""
+"""Operators' views of the leader's state, as JSON-serializable data."""
 
 from __future__ import annotations
 
@@ -33,10 +33,10 @@
 
     Args:
         name: One of `VIEWS`.
-        version: For `in_force`: the version asked about.
+        version: For `in_force`: the configuration version to check.
         host: The leader's name.
         replicator: The leader's replica.
-        leading: What it leads.
+        leading: The leader role.
     """
     now = time.monotonic()
     configuration = replicator.state.configuration
@@ -71,8 +71,8 @@
         case "status":
             return _status(host, replicator, leading, now)
         case _:
-            what = findings.unknown_word("view", name, VIEWS)
-            return {"error": {"message": what}}
+            message = findings.unknown_word("view", name, VIEWS)
+            return {"error": {"message": message}}
 
 
 def _status(
@@ -105,21 +105,25 @@
     replica = replicator.replica
     rows = []
     for member in replica.members.all:
-        leads = member.identity == replicator.identity
-        voter = replica.members.is_voter(member.identity)
+        is_leader = member.identity == replicator.identity
+        is_voter = replica.members.is_voter(member.identity)
         rows.append(
             {
                 "name": member.name,
                 "identity": member.identity[:8],
                 "address": member.address,
-                "role": "leader" if leads else "voter" if voter else "learner",
+                "role": "leader"
+                if is_leader
+                else "voter"
+                if is_voter
+                else "learner",
                 "synced": (
                     replica.commit
-                    if leads
+                    if is_leader
                     else replica.matched(member.identity)
                 ),
                 "behind": 0
-                if leads
+                if is_leader
                 else max(0, replica.commit - replica.matched(member.identity)),
                 "silent_s": round(replica.silent_for(member.identity), 2),
             }
--- a/tests/test_control_hosts.py
+++ b/tests/test_control_hosts.py
@@ -1,4 +1,4 @@
-"""Three control hosts as real processes: killed, frozen, without their disk."""
+"""Tests of three control hosts as processes: killed, suspended, disk lost."""
 
 import concurrent.futures
 import hashlib
@@ -12,7 +12,7 @@
 
 from tests import site
 
-_FAST = "[timing]\nlease_seconds = 1.5\nelection_seconds = 0.3\n" + (
+_FAST_TIMING = "[timing]\nlease_seconds = 1.5\nelection_seconds = 0.3\n" + (
     "watch_seconds = 0.2\nhost_silence_seconds = 0.8\n"
 )
 
@@ -29,7 +29,7 @@
         self.site = processes.ControlSite(
             folder=self.folder,
             count=3,
-            more=_FAST,
+            more=_FAST_TIMING,
             more_peers="silence_seconds = 0.8\n",
         )
         self.addCleanup(self.site.close)
@@ -45,10 +45,10 @@
         return self.site.view("rules", "show")["text"]
 
     def test_killed_leader_loses_no_accepted_change(self):
-        """Operators see every accepted change, and go on changing.
+        """Guards against accepted changes that are lost with their leader.
 
         The leader is killed right after each acknowledgement, three times in
-        a row; the others elect, the killed one comes back.
+        a row; the others elect a leader, and the killed host restarts.
         """
         for number in range(3):
             leader = self.site.wait_leader()
@@ -58,12 +58,12 @@
             self.assertEqual(self._text(), _rules(number))
             self.site.restart(leader).wait_ready()
 
-    def test_frozen_leader_cannot_serve_a_withdrawn_key(self):
-        """The withdrawn key works nowhere, also on the host that froze.
+    def test_suspended_leader_does_not_serve_a_revoked_key(self):
+        """Guards against a revoked key that a resumed leader still accepts.
 
-        The leader is stopped with a running lease; the others elect, the key
-        is withdrawn, and the operator waits until that is in force. Then the
-        old leader goes on where it was.
+        The leader is suspended with a valid lease; the others elect a leader,
+        the key is revoked, and the operator waits until that is in force. Then
+        the old leader resumes.
         """
         self._apply(0)
         secret = "a-key-of-the-band"
@@ -71,78 +71,83 @@
         digest = hashlib.sha256(secret.encode()).hexdigest()
         path.write_text(_rules(0) + f"key k team=band sha256={digest} # x\n")
         self.site.operate("rules", "apply", str(path), "--wait=10")
-        frozen = self.site.hosts[self.site.wait_leader()]
+        suspended = self.site.hosts[self.site.wait_leader()]
 
-        def ask():
+        def request_status():
             return processes.fetch(
-                f"{frozen.url}/v1/models",
+                f"{suspended.url}/v1/models",
                 headers={"Authorization": f"Bearer {secret}"},
             )[0]
 
-        self.assertEqual(ask(), 200)
-        frozen.signal(signal.SIGSTOP)
-        self.addCleanup(frozen.signal, signal.SIGCONT)
-        others = [h for h in self.site.hosts.values() if h is not frozen]
+        self.assertEqual(request_status(), 200)
+        suspended.signal(signal.SIGSTOP)
+        self.addCleanup(suspended.signal, signal.SIGCONT)
+        others = [h for h in self.site.hosts.values() if h is not suspended]
         self.site.hosts = {host.name: host for host in others}
         self.site.wait_leader()
         revoked = self.site.operate("key", "revoke", "k", "--wait=10")
         self.assertEqual(revoked.returncode, 0, revoked.stderr)
-        frozen.signal(signal.SIGCONT)
-        self.assertIn(ask(), (401, 503))
-        processes.wait_for(lambda: ask() == 401, "the host is back")
-        self.site.hosts[frozen.name] = frozen
+        suspended.signal(signal.SIGCONT)
+        self.assertIn(request_status(), (401, 503))
+        processes.wait_for(
+            lambda: request_status() == 401, "the resumed host refuses the key"
+        )
+        self.site.hosts[suspended.name] = suspended
 
-    def test_lost_disk_then_a_second_loss(self):
-        """Changes are accepted although two of the first three are gone.
+    def test_second_host_failure_after_lost_disk(self):
+        """Guards against a lost majority after two of three hosts failed.
 
-        A host comes back with an empty disk: a new member that learns first.
-        The operator takes the lost replica out. Right after the repair
-        another host is lost for good.
+        A host restarts with an empty disk and joins as a learner. The operator
+        removes its lost replica. Right after the repair, another host fails
+        permanently.
         """
         self._apply(0)
         leader = self.site.wait_leader()
-        lost, second = (n for n in self.site.hosts if n != leader)
-        before = {r["identity"] for r in self.site.view("voter", "list")}
-        self.site.hosts[lost].kill()
-        shutil.rmtree(self.site.hosts[lost].data_folder)
-        self.site.restart(lost)
-        rows = processes.wait_for(
+        wiped, second = (n for n in self.site.hosts if n != leader)
+        old_identities = {
+            r["identity"] for r in self.site.view("voter", "list")
+        }
+        self.site.hosts[wiped].kill()
+        shutil.rmtree(self.site.hosts[wiped].data_folder)
+        self.site.restart(wiped)
+        new_rows = processes.wait_for(
             lambda: [
                 r
                 for r in self.site.view("voter", "list")
-                if r["identity"] not in before
+                if r["identity"] not in old_identities
             ],
-            "the newcomer learns",
+            "the new replica joins as a learner",
         )
-        (gone,) = (
+        (lost_identity,) = (
             r["identity"]
             for r in self.site.view("voter", "list")
-            if r["name"] == lost and r["identity"] in before
+            if r["name"] == wiped and r["identity"] in old_identities
         )
-        self.assertNotEqual(rows[0]["identity"], gone)
-        removed = self.site.operate("voter", "remove", gone)
+        self.assertNotEqual(new_rows[0]["identity"], lost_identity)
+        removed = self.site.operate("voter", "remove", lost_identity)
         self.assertEqual(removed.returncode, 0, removed.stderr)
         processes.wait_for(
             lambda: (
-                gone
+                lost_identity
                 not in {r["identity"] for r in self.site.view("voter", "list")}
                 and sorted(self.site.voters()) == ["c0", "c1", "c2"]
             ),
-            "the repair is done",
+            "the repair is complete",
         )
         self.site.hosts.pop(second).kill()
         self.assertEqual(self._apply(1).returncode, 0)
         self.assertEqual(self._text(), _rules(1))
 
-    def test_racing_operators_with_equal_numbers(self):
-        """Of six changes of one version one wins; the others are told.
+    def test_concurrent_changes_of_one_version(self):
+        """Guards against concurrent changes that overwrite each other.
 
-        They go through different hosts at the same moment.
+        Six changes of one version are sent through different hosts at the same
+        time; one is accepted, and the others are refused with a conflict.
         """
         self._apply(0)
         names = list(self.site.hosts) * 2
         with concurrent.futures.ThreadPoolExecutor(6) as pool:
-            done = list(
+            results = list(
                 pool.map(
                     lambda n: self._apply(
                         n + 10, "--expected-version=1", through=names[n]
@@ -150,7 +155,7 @@
                     range(6),
                 )
             )
-        statuses = sorted(d.returncode for d in done)
+        statuses = sorted(d.returncode for d in results)
         self.assertEqual(statuses, [0, 3, 3, 3, 3, 3])
-        (winner,) = (n for n, d in enumerate(done) if d.returncode == 0)
+        (winner,) = (n for n, d in enumerate(results) if d.returncode == 0)
         self.assertEqual(self._text(), _rules(winner + 10))
--- a/tests/test_soft_state.py
+++ b/tests/test_soft_state.py
@@ -1,4 +1,4 @@
-"""Targets, watchers, addresses and events: small pure parts."""
+"""Tests of targets, watchers, addresses, stream events and retry budgets."""
 
 import unittest
 
@@ -34,18 +34,18 @@
         self.targets.announce(_info(), 0.0)
 
     def test_late_report_does_not_undo_a_drain(self):
-        """A leaving target stays out although an older report comes after."""
+        """Guards against an older report that arrives late and ends a drain."""
         self.targets.report(_report(2, draining=True), 1.0)
         self.targets.report(_report(1, draining=False), 1.1)
         self.assertEqual(self.targets.live(1.2), [])
 
-    def test_words_of_an_earlier_life_are_dropped(self):
+    def test_reports_of_an_earlier_incarnation_are_ignored(self):
         self.targets.announce(_info(2), 1.0)
         self.assertTrue(self.targets.report(_report(9, draining=True), 1.1))
         self.assertEqual(len(self.targets.live(1.2)), 1)
         self.assertIn("older", self.targets.announce(_info(1), 1.3))
 
-    def test_silent_target_gets_no_work_and_comes_back(self):
+    def test_silent_target_gets_no_requests_until_its_next_report(self):
         self.assertEqual(self.targets.live(3.1), [])
         self.targets.report(_report(1), 4.0)
         self.assertEqual(len(self.targets.live(4.1)), 1)
@@ -60,10 +60,10 @@
             lease_seconds=3.0, silence_seconds=2.0, now=0.0
         )
 
-    def test_change_is_in_force_when_the_cut_off_hosts_lease_is_over(self):
-        """An operator who waits is told only when no host serves old rules.
+    def test_change_is_in_force_when_lease_of_partitioned_host_expires(self):
+        """Guards against confirming a change while a host serves old rules.
 
-        One host has the change; the other was cut off with a running lease
+        One host has the change; the other was partitioned with a valid lease
         and acknowledges nothing.
         """
         self.watchers.renew(_host("a"), b"a", 1, 9.0)
@@ -72,21 +72,21 @@
         self.assertEqual(self.watchers.lagging(2, 12.9), ["b"])
         self.assertEqual(self.watchers.lagging(2, 13.0), [])
 
-    def test_leases_of_an_earlier_process_are_waited_for(self):
+    def test_leases_of_an_earlier_process_delay_changes(self):
         self.assertNotEqual(self.watchers.lagging(1, 2.9), [])
         self.assertEqual(self.watchers.lagging(1, 3.0), [])
 
-    def test_older_incarnation_cannot_speak_for_its_successor(self):
+    def test_older_incarnation_cannot_renew_for_its_successor(self):
         self.watchers.renew(_host("a", incarnation=2), b"n", 5, 9.0)
         older = self.watchers.renew(_host("a", incarnation=1), b"o", 9, 9.1)
         self.assertFalse(older)
         self.assertEqual(self.watchers.lagging(6, 9.2), ["a"])
 
-    def test_new_leaders_short_table_is_not_given_out(self):
-        """Callers keep many addresses when the leader changes.
+    def test_incomplete_table_of_new_leader_is_not_used(self):
+        """Guards against a short list of addresses after a leader change.
 
-        The new leader has heard of one host of eight; the others renew within
-        the next moment.
+        The new leader has received a renewal from one host of eight; the
+        others renew shortly after.
         """
         self.watchers.renew(_host("a"), b"a", 1, 0.1)
         self.watchers.refresh(0.1)
@@ -116,7 +116,7 @@
         if any(host.domain == "d0" for host in ready):
             self.assertEqual(chosen[0].domain, "d0")
 
-    def test_losing_a_host_moves_only_its_callers(self):
+    def test_host_removal_moves_only_its_callers(self):
         hosts = [_host(f"h{n}") for n in range(8)]
         moved = 0
         for caller in map(str, range(200)):
@@ -129,16 +129,18 @@
         self.assertTrue(10 < moved < 45, moved)
 
 
-class HomesTest(unittest.TestCase):
-    def test_homes_are_spread_and_only_a_lost_ones_targets_move(self):
+class HomeGatewaysTest(unittest.TestCase):
+    def test_removal_of_a_home_gateway_moves_only_its_targets(self):
         hosts = [_host(f"h{n}") for n in range(8)]
         count = dict.fromkeys((host.name for host in hosts), 0)
         for number in range(400):
             target = f"engine-{number}"
             first, second, *_ = addresses.homes(hosts, target=target)
             count[first.name] += 1
-            left = [host for host in hosts if host != first]
-            self.assertEqual(addresses.homes(left, target=target)[0], second)
+            remaining = [host for host in hosts if host != first]
+            self.assertEqual(
+                addresses.homes(remaining, target=target)[0], second
+            )
         self.assertTrue(all(25 < n < 80 for n in count.values()), count)
 
 
@@ -159,7 +161,7 @@
             raw, turn = raw[size:], turn + 1
         self.assertEqual(events, [sse.Event(b"x", item) for item in data])
 
-    def test_endless_event_is_refused(self):
+    def test_event_without_end_is_refused(self):
         splitter = sse.Splitter()
         with self.assertRaises(sse.TooLongError):
             splitter.feed(b"x" * (sse.LONGEST_EVENT_BYTES + 1))
@@ -172,5 +174,5 @@
             pass
         for _ in range(100):
             budget.request()
-        made = sum(budget.retry() for _ in range(100))
-        self.assertAlmostEqual(made, 20, delta=1)
+        granted = sum(budget.retry() for _ in range(100))
+        self.assertAlmostEqual(granted, 20, delta=1)
