--- a/tests/placement_site.py
+++ b/tests/placement_site.py
@@ -1,9 +1,9 @@
-"""Engines, a planner and callers of many models, in virtual time.
+"""Simulated site in virtual time: engines, a planner and callers.
 
-Engines load one model at a time, from the store in seconds or from their own
-disk in less; an unload waits for the model's runs. Callers arrive at one entry
-host, wait as long as `request.patience` lets them, and come back once at the
-time that they are told.
+Engines load one model at a time, from the weight store in seconds or from their
+own disk in less; an unload waits for the model's running requests. Callers
+arrive at one entry host, wait as long as `request.patience` allows, and retry
+once after the Retry-After that they receive.
 """
 
 import asyncio
@@ -28,8 +28,8 @@
 RUN_SECONDS = 1.5
 ADAPTER_SECONDS = 0.01
 RETRY_AFTER_SECONDS = 0.5
-# Callers honour a Retry-After up to this.
-LONGEST_RETRY_SECONDS = 5.0
+# Maximum Retry-After that callers honor.
+MAX_RETRY_AFTER_SECONDS = 5.0
 ROUTE = document_lib.Route(
     name="r",
     host="h",
@@ -90,7 +90,7 @@
 
 
 class Engine:
-    """One engine; reports to the planner whenever what it holds changes."""
+    """Fake engine; reports to the planner after each change of its models."""
 
     def __init__(self, *, name, loaded, on_disk, places, adapter_places):
         self.name = name
@@ -104,18 +104,18 @@
         self._places = places
         self._adapter_places = adapter_places
         self._busy = False
-        self._numbers = 0
+        self._report_number = 0
         self._tasks = set()
 
     def registration(self):
-        self._numbers += 1
+        self._report_number += 1
         return registry_lib.Registration(
             name=self.name,
             service=SERVICE,
             address=self.name,
             domain="a",
             born=1,
-            number=self._numbers,
+            number=self._report_number,
             slots=64,
             loaded=self.held(),
             on_disk=tuple(self.on_disk),
@@ -137,15 +137,15 @@
             for model in sorted(self.loaded)
         )
 
-    def take(self, order):
-        """Accepts an order and carries it out in its own time."""
+    def receive_order(self, order):
+        """Accepts an order and executes it asynchronously."""
         if self._busy or order.expected != self.accepted:
             return engines_lib.Outcome.BUSY
         if order.adapter and order.model not in self.loaded:
             return engines_lib.Outcome.REFUSED
         self.accepted += 1
         if order.adapter:
-            return self._take_adapter(order)
+            return self._receive_adapter_order(order)
         self._busy = True
         work = self._load if order.load else self._unload
         task = asyncio.ensure_future(work(order.model))
@@ -153,12 +153,12 @@
         task.add_done_callback(self._tasks.discard)
         return engines_lib.Outcome.ACCEPTED
 
-    def _take_adapter(self, order):
+    def _receive_adapter_order(self, order):
         name = f"{order.model}/{order.adapter}"
         if order.load:
             self.adapters.add(name)
         elif self.running[name]:
-            # It keeps its place until its runs have ended.
+            # The adapter keeps its place until its requests have ended.
             task = asyncio.ensure_future(self._drop_adapter(name))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
@@ -180,7 +180,7 @@
         if model in self.on_disk:
             self.on_disk.remove(model)
         self.on_disk = [*self.on_disk, model][-2 * self._places :]
-        self._done()
+        self._finish_order()
 
     async def _unload(self, model):
         while self.running[model]:
@@ -189,22 +189,22 @@
         self.adapters = {
             name for name in self.adapters if not name.startswith(f"{model}/")
         }
-        self._done()
+        self._finish_order()
 
-    def _done(self):
+    def _finish_order(self):
         self._busy = False
         self.report()
 
 
 class Engines:
-    """Stands in for the calls over HTTP."""
+    """Fake of the HTTP client for engines."""
 
     def __init__(self, engines):
         self._engines = {engine.name: engine for engine in engines}
 
     async def order(self, address, target, order, *, seconds):
         await asyncio.sleep(0.002)
-        return self._engines[target].take(order)
+        return self._engines[target].receive_order(order)
 
     async def report(self, address, *, seconds):
         await asyncio.sleep(0.002)
@@ -218,17 +218,17 @@
 
 
 class Site:
-    """One entry host's callers in front of a planner and its engines.
+    """Callers of one entry host, a planner and its engines.
 
     Attributes:
-        asked: When each model or adapter was asked for.
-        served: When each was served.
-        reasons: How many callers were refused for what.
+        requested_at: Times of the requests, by model or adapter.
+        served_at: Times of the served requests, by model or adapter.
+        reasons: Number of refused attempts, by reason.
     """
 
     def __init__(self, *, models, engines, places, loaded, adapters=8):
-        self.asked = collections.defaultdict(list)
-        self.served = collections.defaultdict(list)
+        self.requested_at = collections.defaultdict(list)
+        self.served_at = collections.defaultdict(list)
         self.reasons = collections.Counter()
         self.engines = [
             Engine(
@@ -247,7 +247,7 @@
         self._waiting = collections.defaultdict(list)
         self._unserved = unserved_lib.Unserved()
         self._meters = demand_lib.Meters(now=clock.now())
-        self._calls = set()
+        self._call_tasks = set()
         self._tasks = []
         self.planner = self._new_planner(fence=1)
 
@@ -276,44 +276,55 @@
         ]
 
     async def close(self):
-        for task in (*self._tasks, *self._calls):
+        for task in (*self._tasks, *self._call_tasks):
             task.cancel()
         await self.planner.close()
 
     async def replace_holder(self, *, pause):
-        """The planner's host is lost; another begins from what hosts say."""
-        before, self.planner = self.planner, None
-        await before.close()
+        """Replaces the planner, as when its host fails.
+
+        Args:
+            pause: Seconds without a planner. The new one starts from the
+                reports of engines and entry hosts.
+        """
+        previous, self.planner = self.planner, None
+        await previous.close()
         await asyncio.sleep(pause)
         self.planner = self._new_planner(fence=2)
         self.planner.start()
 
     def call(self, model, adapter=""):
-        """A caller asks for a model, or an adapter of it."""
+        """Starts a caller's request for a model or an adapter of it."""
         task = asyncio.ensure_future(self._call(model, adapter))
-        self._calls.add(task)
-        task.add_done_callback(self._calls.discard)
+        self._call_tasks.add(task)
+        task.add_done_callback(self._call_tasks.discard)
 
     def never_served(self, *, times=4, seconds=8.0):
-        """Returns what was asked for through the run, and of that what never.
+        """Returns names with sustained demand, and those never served.
 
         Args:
-            times: Least number of requests.
-            seconds: Least time between the first and the last.
+            times: Minimum number of requests.
+            seconds: Minimum time between the first and the last request.
+
+        Returns:
+            The models and adapters with sustained demand, and those of them
+            that no request was served for.
         """
-        through = [
+        sustained = [
             name
-            for name, when in self.asked.items()
+            for name, when in self.requested_at.items()
             if len(when) >= times and when[-1] - when[0] >= seconds
         ]
-        return through, [name for name in through if not self.served[name]]
+        return sustained, [
+            name for name in sustained if not self.served_at[name]
+        ]
 
     def longest_unserved(self, name, now):
-        """Returns the longest time without service from the first request."""
-        asked = self.asked[name]
-        if not asked:
+        """Returns the longest unserved time since the first request."""
+        requests = self.requested_at[name]
+        if not requests:
             return 0.0
-        times = [asked[0], *self.served[name], now]
+        times = [requests[0], *self.served_at[name], now]
         return max(b - a for a, b in itertools.pairwise(times))
 
     def _signal(self):
@@ -367,54 +378,59 @@
     async def _call(self, model, adapter):
         names = [model, f"{model}/{adapter}"] if adapter else [model]
         for name in names:
-            self.asked[name].append(clock.now())
-        first = await self._attempt(model, adapter, names)
-        if first is not None:
-            await asyncio.sleep(min(first, LONGEST_RETRY_SECONDS))
+            self.requested_at[name].append(clock.now())
+        retry_after = await self._attempt(model, adapter, names)
+        if retry_after is not None:
+            await asyncio.sleep(min(retry_after, MAX_RETRY_AFTER_SECONDS))
             await self._attempt(model, adapter, names)
 
     async def _attempt(self, model, adapter, names):
-        """Returns None if it was served, else when to come back."""
-        came = clock.now()
+        """Returns None if it was served, else the Retry-After in seconds."""
+        arrived_at = clock.now()
         key = (SERVICE, model, adapter)
-        self._meters.count(key, came)
-        until = patience_lib.until_place(
-            route=ROUTE, came=came, heard=0.0, deadline=came + ROUTE.timeout
+        self._meters.count(key, arrived_at)
+        deadline = patience_lib.until_place(
+            route=ROUTE,
+            came=arrived_at,
+            heard=0.0,
+            deadline=arrived_at + ROUTE.timeout,
         )
-        waits = False
+        is_waiting = False
         try:
             while True:
                 now = clock.now()
-                engine = self._holder(model, adapter)
+                engine = self._find_engine(model, adapter)
                 if engine is not None:
                     self._unserved.served(key)
                     break
                 expected = self._expected(model, now)
-                if now >= until or (expected or now) > until:
-                    reason = "no_adapter" if self._holder(model) else "no_model"
+                if now >= deadline or (expected or now) > deadline:
+                    reason = (
+                        "no_adapter" if self._find_engine(model) else "no_model"
+                    )
                     self.reasons[reason] += 1
                     return patience_lib.come_back(
                         expected=expected, now=now, usual=RETRY_AFTER_SECONDS
                     )
-                if not waits:
-                    waits = True
-                    self._begin_to_wait(key)
-                await self._until_changed(min(until - now, 0.1))
+                if not is_waiting:
+                    is_waiting = True
+                    self._start_waiting(key)
+                await self._wait_for_change(min(deadline - now, 0.1))
         finally:
-            if waits:
+            if is_waiting:
                 self._stop_waiting(key)
         await self._run(engine, names)
         return None
 
     async def _run(self, engine, names):
         for name in names:
-            self.served[name].append(clock.now())
+            self.served_at[name].append(clock.now())
             engine.running[name] += 1
         await asyncio.sleep(RUN_SECONDS)
         for name in names:
             engine.running[name] -= 1
 
-    def _holder(self, model, adapter=""):
+    def _find_engine(self, model, adapter=""):
         holders = [
             engine
             for engine in self.engines
@@ -441,7 +457,7 @@
         ]
         return min(times, default=None)
 
-    def _begin_to_wait(self, key):
+    def _start_waiting(self, key):
         self._unserved.missed(key, clock.now())
         self._waiting[key].append(ROUTE.objective)
         if len(self._waiting[key]) == 1 and self.planner is not None:
@@ -457,7 +473,7 @@
         if not self._waiting[key]:
             del self._waiting[key]
 
-    async def _until_changed(self, seconds):
+    async def _wait_for_change(self, seconds):
         try:
             async with asyncio.timeout(max(0.001, seconds)):
                 await self._changed.wait()
@@ -466,17 +482,17 @@
 
 
 async def ask(site, *, model, rate, seconds, seed, adapter="", burst=1):
-    """Callers of one model at random times, `burst` at once."""
-    chance = random.Random(f"{seed}/{model}/{adapter}")
-    until = clock.now() + seconds
+    """Starts requests for one model at random times, `burst` at a time."""
+    rng = random.Random(f"{seed}/{model}/{adapter}")
+    deadline = clock.now() + seconds
     while True:
-        await asyncio.sleep(chance.expovariate(rate / burst))
-        if clock.now() >= until:
+        await asyncio.sleep(rng.expovariate(rate / burst))
+        if clock.now() >= deadline:
             return
         for _ in range(burst):
             site.call(model, adapter)
 
 
-def allowed_never(asked):
-    """Returns how many of so many may end the day unserved."""
-    return math.floor(1 + 0.1 * asked)
+def allowed_never(count):
+    """Returns how many of a number of models may end the run unserved."""
+    return math.floor(1 + 0.1 * count)
--- a/tests/test_site_planner.py
+++ b/tests/test_site_planner.py
@@ -86,7 +86,7 @@
         self.late = []
         self.report = None
 
-    def take(self, order):
+    def receive_order(self, order):
         """Executes an order as the platform's engines do."""
         if order.expected != self.accepted or self.busy:
             return engines_lib.Outcome.BUSY
@@ -120,7 +120,7 @@
 
     def __init__(self, engines):
         self.engines = {engine.name: engine for engine in engines}
-        self.asked = []
+        self.report_requests = []
 
     async def order(self, address, target, order, *, seconds):
         engine = self.engines[target]
@@ -128,19 +128,19 @@
         await asyncio.sleep(0)
         handling_mode = engine.handling.pop(0) if engine.handling else "answer"
         if handling_mode == "answer":
-            return engine.take(order)
+            return engine.receive_order(order)
         if handling_mode == "after_load":
             engine.busy = False
             engine.loaded.add(engine.loading)
-            return engine.take(order)
+            return engine.receive_order(order)
         if handling_mode == "done_unheard":
-            engine.take(order)
+            engine.receive_order(order)
         if handling_mode == "late":
             engine.late.append(order)
         return engines_lib.Outcome.UNANSWERED
 
     async def report(self, address, *, seconds):
-        self.asked.append(address)
+        self.report_requests.append(address)
         await asyncio.sleep(0)
         engine = next(e for e in self.engines.values() if e.name == address)
         return engines_lib.Report(
@@ -268,10 +268,10 @@
         engine = Engine("e1", "ab")
         self._start(engine)
         closing = []
-        take = engine.take
-        engine.take = lambda order: (
+        receive_order = engine.receive_order
+        engine.receive_order = lambda order: (
             closing.append(self.planner.closing("e1")),
-            take(order),
+            receive_order(order),
         )[1]
         self._request("c")
         await self._until(lambda: "c" in engine.loaded)
@@ -319,7 +319,9 @@
         await self._until(lambda: "c" in engine.loaded)
         before = set(engine.loaded)
         for order in engine.late:
-            self.assertEqual(engine.take(order), engines_lib.Outcome.BUSY)
+            self.assertEqual(
+                engine.receive_order(order), engines_lib.Outcome.BUSY
+            )
         self.assertEqual(engine.loaded, before)
 
     async def test_loading_engine_gets_no_second_model(self):
@@ -335,7 +337,9 @@
         engine.handling = ["answer", "after_load"]
         self._start(engine)
         self._request("c")
-        await self._until(lambda: engine.crashed or len(self.fake.asked) > 2)
+        await self._until(
+            lambda: engine.crashed or len(self.fake.report_requests) > 2
+        )
         self.assertFalse(engine.crashed)
         engine.busy = False
         engine.loaded.add("b")
@@ -513,7 +517,7 @@
                     await asyncio.sleep(0.002)
                 for engine in engines:
                     for order in engine.late:
-                        engine.take(order)
+                        engine.receive_order(order)
                     engine.late = []
         finally:
             await test.planner.close()
--- a/tests/test_use_table.py
+++ b/tests/test_use_table.py
@@ -1,4 +1,4 @@
-"""Totals of what runs on targets."""
+"""Tests of the totals of running requests on targets."""
 
 import unittest
 
@@ -19,6 +19,9 @@
 
 
 class UseTableTest(unittest.TestCase):
+    # Guards against totals that drift from the reports of entry hosts, also
+    # after hosts were removed. The random seed is derived from the source of
+    # the test below, except its comments.
     @hypothesis.given(
         st.lists(st.tuples(HOSTS, st.none() | st.lists(USE, max_size=4)))
     )
