--- a/packages/endivestream/src/endivestream/process/control.py
+++ b/packages/endivestream/src/endivestream/process/control.py
@@ -119,9 +119,9 @@
             keys=keys,
             meter=self._meter,
         )
-        self._doorkeeper: link_keys.Doorkeeper | None = None
+        self._authenticator: link_keys.Doorkeeper | None = None
         if keys is not None:
-            self._doorkeeper = link_keys.Doorkeeper(
+            self._authenticator = link_keys.Doorkeeper(
                 context=context,
                 allowed_folder=settings.link_keys.allowed_folder,
             )
@@ -184,8 +184,8 @@
             OSError: The stored data cannot be read, or the address cannot be
                 used.
         """
-        if self._doorkeeper is not None:
-            self._doorkeeper.start()
+        if self._authenticator is not None:
+            self._authenticator.start()
         self._server.start()
         timing = self._settings.timing
         self._replicator = replicate.Replicator(
@@ -254,8 +254,8 @@
         for link in self._links.values():
             await link.close()
         await self._server.close()
-        if self._doorkeeper is not None:
-            self._doorkeeper.close()
+        if self._authenticator is not None:
+            self._authenticator.close()
 
     def _on_role(self, leads: bool) -> None:
         if self._leading is not None:
--- a/packages/endivestream/src/endivestream/process/demand_table.py
+++ b/packages/endivestream/src/endivestream/process/demand_table.py
@@ -61,8 +61,8 @@
         if report.unserved:
             entry.unserved_since[host] = now - report.unserved
         if report.urgency:
-            known = entry.objective or report.urgency
-            entry.objective = min(known, report.urgency)
+            current = entry.objective or report.urgency
+            entry.objective = min(current, report.urgency)
         if report.waiting:
             entry.waiting[host] = report.waiting
 
--- a/packages/endivestream/src/endivestream/process/engine_worker.py
+++ b/packages/endivestream/src/endivestream/process/engine_worker.py
@@ -262,10 +262,10 @@
         name = f"{model}/{adapter}" if adapter else model
         async with self._lock:
             # An unknown order may have completed since the last query.
-            known = self._accepted_orders is not None and not (
+            is_count_known = self._accepted_orders is not None and not (
                 self._has_unknown_order and load and not adapter
             )
-            if not known and not await self._query():
+            if not is_count_known and not await self._query():
                 return False
             for attempt in range(MAX_ORDER_ATTEMPTS):
                 if not self._may_order():
--- a/packages/endivestream/src/endivestream/process/planner.py
+++ b/packages/endivestream/src/endivestream/process/planner.py
@@ -112,7 +112,7 @@
         self._started_at = clock.now()
         # Models that requests wait for and that no step loads, by service.
         self._unplaced: dict[str, list[plan_types.Unplaced]] = {}
-        self._unplaced_logged: dict[tuple[str, str], float] = {}
+        self._unplaced_logged_at: dict[tuple[str, str], float] = {}
         self._wake_up = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
         self._adapters = adapter_placer.AdapterPlacer(
@@ -342,7 +342,7 @@
             )
 
     def _log_unplaced(self, service: str, now: float) -> None:
-        logged = self._unplaced_logged
+        logged = self._unplaced_logged_at
         for key, logged_at in list(logged.items()):
             if now - logged_at >= _UNPLACED_LOG_INTERVAL_SECONDS:
                 del logged[key]
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -24,6 +24,7 @@
         return self.control.control.replicator.state.ledger.targets
 
     async def test_model_without_copy_is_loaded_and_served(self):
+        """Guards against a configured model that no engine loads."""
         await self.add_engine("e1", loaded={}, options=_options())
         await site.until(
             lambda: (
--- a/tests/test_site_planner.py
+++ b/tests/test_site_planner.py
@@ -235,6 +235,7 @@
                 await asyncio.sleep(0.002)
 
     async def test_missing_model_displaces_idle_model(self):
+        """Guards against displacing the model that is in demand."""
         engine = Engine("e1", "ab")
         self._start(engine)
         self._request("a", waiting=0)
@@ -400,6 +401,7 @@
         self.assertEqual([], [o for e in engines for o in e.orders if o.load])
 
     async def test_no_orders_without_permission(self):
+        """Guards against orders of a host that may not be the lease holder."""
         engine = Engine("e1", "a")
         self._start(engine, may_order=lambda: False)
         self._request("c")
@@ -408,6 +410,7 @@
         self.assertEqual(engine.orders, [])
 
     async def test_orders_carry_holder_and_fence(self):
+        """Guards against orders that engines cannot fence."""
         engine = Engine("e1", "a")
         self._start(engine)
         self._request("c")
--- a/tests/test_soft_state.py
+++ b/tests/test_soft_state.py
@@ -40,17 +40,20 @@
         self.assertEqual(self.targets.live(1.2), [])
 
     def test_reports_of_an_earlier_incarnation_are_ignored(self):
+        """Guards against a drain by a report of a replaced process."""
         self.targets.announce(_info(2), 1.0)
         self.assertTrue(self.targets.report(_report(9, draining=True), 1.1))
         self.assertEqual(len(self.targets.live(1.2)), 1)
         self.assertIn("older", self.targets.announce(_info(1), 1.3))
 
     def test_silent_target_gets_no_requests_until_its_next_report(self):
+        """Guards against requests to a target without recent reports."""
         self.assertEqual(self.targets.live(3.1), [])
         self.targets.report(_report(1), 4.0)
         self.assertEqual(len(self.targets.live(4.1)), 1)
 
     def test_unknown_target_must_announce_itself(self):
+        """Guards against reports of an incarnation that was not announced."""
         self.assertFalse(self.targets.report(_report(1, incarnation=2), 0.0))
 
 
@@ -73,10 +76,15 @@
         self.assertEqual(self.watchers.lagging(2, 13.0), [])
 
     def test_leases_of_an_earlier_process_delay_changes(self):
+        """Guards against confirming a change before old leases expire.
+
+        A new leader has no record of the leases of its predecessor.
+        """
         self.assertNotEqual(self.watchers.lagging(1, 2.9), [])
         self.assertEqual(self.watchers.lagging(1, 3.0), [])
 
     def test_older_incarnation_cannot_renew_for_its_successor(self):
+        """Guards against renewals of a replaced process of the same host."""
         self.watchers.renew(_host("a", incarnation=2), b"n", 5, 9.0)
         older = self.watchers.renew(_host("a", incarnation=1), b"o", 9, 9.1)
         self.assertFalse(older)
@@ -96,6 +104,8 @@
 
 
 class AddressesTest(unittest.TestCase):
+    # Guards against addresses of draining hosts or of a single failure domain.
+    # The seed of the next test is derived from its source except comments.
     @hypothesis.given(
         st.lists(st.integers(0, 2), min_size=1, max_size=10), st.text()
     )
@@ -117,6 +127,7 @@
             self.assertEqual(chosen[0].domain, "d0")
 
     def test_host_removal_moves_only_its_callers(self):
+        """Guards against callers that change hosts when another is removed."""
         hosts = [_host(f"h{n}") for n in range(8)]
         moved = 0
         for caller in map(str, range(200)):
@@ -131,6 +142,7 @@
 
 class HomeGatewaysTest(unittest.TestCase):
     def test_removal_of_a_home_gateway_moves_only_its_targets(self):
+        """Guards against uneven home gateways and unneeded reassignments."""
         hosts = [_host(f"h{n}") for n in range(8)]
         count = dict.fromkeys((host.name for host in hosts), 0)
         for number in range(400):
@@ -145,6 +157,8 @@
 
 
 class SplitterTest(unittest.TestCase):
+    # Guards against events that depend on where the byte stream is cut. The
+    # seed of the next test is derived from its source except comments.
     @hypothesis.given(
         st.lists(st.binary(max_size=8).filter(lambda b: b.isalnum())),
         st.lists(st.integers(1, 9), min_size=1),
@@ -162,6 +176,7 @@
         self.assertEqual(events, [sse.Event(b"x", item) for item in data])
 
     def test_event_without_end_is_refused(self):
+        """Guards against unbounded memory use for an event without end."""
         splitter = sse.Splitter()
         with self.assertRaises(sse.TooLongError):
             splitter.feed(b"x" * (sse.LONGEST_EVENT_BYTES + 1))
@@ -169,6 +184,7 @@
 
 class BudgetTest(unittest.TestCase):
     def test_retries_are_a_share_of_requests(self):
+        """Guards against retries that multiply the load of a failing target."""
         budget = retries.Budget(share=0.2)
         while budget.retry():
             pass
--- a/tests/test_steward.py
+++ b/tests/test_steward.py
@@ -66,6 +66,10 @@
         self.assertEqual(self._names(), ("abc", "d"))
 
     def test_caught_up_learner_is_promoted_before_silent_voter_is_removed(self):
+        """Guards against too few voters while a silent one is replaced.
+
+        The learner may be promoted only once it has caught up.
+        """
         self.steward.join(_member("d"))
         self.replica.behind["id-d"] = 900
         self.replica.silent["id-b"] = 601.0
@@ -78,6 +82,10 @@
         self.assertEqual(self._names(), ("acd", ""))
 
     def test_host_with_new_disk_replaces_its_old_identity(self):
+        """Guards against a host that cannot vote again after losing its disk.
+
+        It joins under its name with a new identity.
+        """
         self.steward.join(_member("b", "id-b2"))
         self.replica.silent["id-b"] = 30.0
         self._run_rounds(5)
@@ -91,15 +99,18 @@
         self.assertEqual(self._names(), ("abc", "b"))
 
     def test_operator_removes_voter_without_replacement(self):
+        """Guards against a removal that waits for a learner."""
         self.assertEqual(self.steward.remove("b"), "")
         self._run_rounds()
         self.assertEqual(self._names(), ("ac", ""))
 
     def test_operator_cannot_remove_leader_or_unknown_voter(self):
+        """Guards against removals of the leader and of mistyped names."""
         self.assertIn("leads at the moment", self.steward.remove("a"))
         self.assertIn("unknown voter 'x'", self.steward.remove("x"))
 
     def test_learner_without_join_requests_is_removed(self):
+        """Guards against learners that stay members after their host failed."""
         self.steward.join(_member("d"))
         self._run_rounds()
         self.steward._join_requests.clear()
