--- a/packages/endivestream/src/endivestream/request/choice.py
+++ b/packages/endivestream/src/endivestream/request/choice.py
@@ -1,9 +1,9 @@
-"""Which target a request goes to, from what this host knows. Pure.
+"""Target selection on an entry host. Does no I/O.
 
-The leader says which targets there are and what they hold; this host adds
-what it sees itself: how many of its requests run where, which targets break
-them or fall silent, and what a target has just denied to hold. Time comes in
-as an argument.
+The leader sends the targets and the models that they have loaded. This host
+adds its own observations: how many of its requests run on each target, which
+targets fail or send no bytes, and which models and adapters a target has
+recently denied to have. The current time is passed as an argument.
 """
 
 from __future__ import annotations
@@ -18,55 +18,60 @@
 from endivestream.connection import registry as registry_lib
 from endivestream.request import rate_limits as rate_limits_lib
 
-# A target of another failure domain counts as if so many more requests ran
-# there, or so much of its slots were taken, whichever is less: the way there
-# costs bytes between domains and a few milliseconds. More would crowd the near
-# ones: each request on an engine reads its prompt between the tokens of all
-# others (1,460 tokens take 66 ms), which makes pauses.
-_AWAY_REQUESTS = 4.0
-_AWAY_SHARE = 0.25
-# A target that this session's last request ran on counts as so many requests
-# emptier: it still holds the prompt's shared parts.
-_KNOWN_SESSION = 2.0
-# A second until the next turn at an engine counts as so many requests there.
-_TURN_REQUESTS = 10.0
-# A target that names a limit takes few requests, so it comes after all others;
-# one that has long said nothing may have none any more.
-_LIMITED_REQUESTS = 20.0
-_LIMIT_SECONDS = 10.0
-# A target that misses its reports counts as so many requests fuller.
-_SILENT_REQUESTS = 20.0
-# Requests that an engine gets from all hosts, as a part of its slots: less by
-# one step for each rank below the most urgent. An engine answers as many
-# requests a second with 32 as with 170; beyond, they only wait there, where no
-# further copy of their model can take them (symptom: every answer of one
-# engine is late or cut, while most others are idle).
-_FULL_SHARE = 0.75
-_FULL_STEP = 0.1
-_LAST_STEP = 3
-# What others run is too old to count after three lost renewals.
-_LOADS_OLD_SECONDS = 1.0
-# Failures in a row after which a target gets one trial request at a time.
-_FAILURES = 2
-# How long a failing target is left alone; doubled with each further failure.
-_EJECT_SECONDS = 0.5
-_EJECT_MOST_SECONDS = 4.0
-# A target that runs requests of ours sends something many times a second. So
-# long without a byte from any of them means that it hangs or is cut off.
-_MUTE_SECONDS = 1.2
+# Penalty of a target in another failure domain, in running requests: this
+# number or this share of its slots, whichever is smaller. Traffic between
+# domains costs bandwidth and a few milliseconds. A larger penalty would
+# overload targets in the host's own domain: an engine processes each prompt
+# between the tokens of all other requests (1,460 tokens take 66 ms), which
+# pauses their streams.
+_REMOTE_DOMAIN_REQUESTS = 4.0
+_REMOTE_DOMAIN_SLOT_SHARE = 0.25
+# Bonus, in running requests, of the target that the session's last request
+# ran on: its cache still has the shared parts of the prompt.
+_SESSION_AFFINITY_REQUESTS = 2.0
+# Penalty, in running requests, per second until an engine's next prefill turn.
+_REQUESTS_PER_TURN_SECOND = 10.0
+# Penalty, in running requests, of a target that reports a rate limit: it
+# accepts few requests, so all other targets are preferred. A limit reported
+# longer ago than this may no longer apply and is not penalized.
+_RATE_LIMITED_REQUESTS = 20.0
+_RATE_LIMIT_FRESH_SECONDS = 10.0
+# Penalty, in running requests, of a target that misses its reports.
+_SILENT_TARGET_REQUESTS = 20.0
+# Maximum number of requests that all hosts together send to an engine, as a
+# share of its slots; reduced by one step for each rank below the most urgent.
+# An engine completes as many requests per second with 32 as with 170. Further
+# requests only wait in the engine, where another copy of their model cannot
+# take them (symptom: every answer of one engine is late or cut off while most
+# other engines are idle).
+_MAX_SLOT_SHARE = 0.75
+_SLOT_SHARE_PER_RANK = 0.1
+_MAX_RANK_STEPS = 3
+# Age at which the load of other hosts is ignored: three lost lease renewals.
+_LOADS_STALE_SECONDS = 1.0
+# Consecutive failures after which a target gets one trial request at a time.
+_EJECTION_FAILURES = 2
+# Duration of a failing target's first ejection; doubled with each further
+# failure up to the maximum.
+_FIRST_EJECTION_SECONDS = 0.5
+_MAX_EJECTION_SECONDS = 4.0
+# A target that runs requests of this host sends bytes many times a second. If
+# none arrives for this time, the target hangs or is unreachable.
+_SILENCE_SECONDS = 1.2
 
 
 class Ask(NamedTuple):
-    """What a request needs.
+    """Requirements of a request on its target.
 
     Attributes:
-        service: The service.
-        model: The model, or empty.
-        adapter: The adapter, or empty.
-        session: What its requests share a prompt by, or empty.
-        tried: Targets that it was already sent to.
-        rank: 0 for the most urgent.
-        waits: Whether it can still wait for a place on a full engine.
+        service: Name of the service.
+        model: Name of the model, or empty.
+        adapter: Name of the adapter, or empty.
+        session: Id shared by requests with a common prompt prefix, or empty.
+        tried: Targets that the request was already sent to.
+        rank: Urgency; 0 is the most urgent.
+        waits: Whether the request can still wait for a slot if the engines
+            are full.
     """
 
     service: str
@@ -80,20 +85,20 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Picked:
-    """The request goes to `target`, for `reason`."""
+    """The target selected for a request and the reason for the selection."""
 
     target: site_messages.Target
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class NotThere:
-    """No target can take it now.
+class Unavailable:
+    """No target can take the request now.
 
     Attributes:
         reason: `no_target`, `no_model`, `no_adapter`, `all_failing`, `full`,
             `rate_limited`.
-        expected: When there will be one, if that is known.
+        expected: Time at which a target can be expected to take it, if known.
     """
 
     reason: str
@@ -101,22 +106,25 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class _Seen:
-    """What this host saw of one target.
+class _TargetState:
+    """State of one target as observed by this host.
 
     Attributes:
-        running: Requests of this host on it.
-        models: The same by model and adapter.
-        starting: Those without a byte of an answer, by model and adapter.
-        heard: When the last byte came from it.
-        waiting_since: When the oldest request was sent that has had no byte
-            since; None if there is none.
-        failures: Failures in a row.
-        turn: When its owner would give the next turn.
-        until: When it may get a trial request.
-        trial: Whether one is under way.
-        denied: Models and adapters that it said it does not hold, with the
-            state of its registration then.
+        running: Number of this host's requests that run on the target.
+        models: The same number by model and adapter.
+        starting: Number of requests whose answer has not started, by model
+            and adapter.
+        last_byte_at: Time at which the last byte arrived from the target.
+        waiting_since: Start of the current wait for bytes: time of the last
+            byte, or of the first request sent since the target had none
+            running. None if no request runs.
+        failures: Number of consecutive failures.
+        next_turn_at: Time of the next prefill turn that the engine's turn
+            owner would grant.
+        retry_at: Time from which the target may get a trial request.
+        trial_running: Whether a trial request is running.
+        denied_names: Models and adapters that the target denied to have.
+            Cleared when the leader sends a changed entry for the target.
     """
 
     running: int = 0
@@ -124,17 +132,17 @@
     starting: dict[tuple[str, str], int] = dataclasses.field(
         default_factory=dict
     )
-    heard: float = float("-inf")
+    last_byte_at: float = float("-inf")
     waiting_since: float | None = None
     failures: int = 0
-    turn: float = float("-inf")
-    until: float = float("-inf")
-    trial: bool = False
-    denied: set[str] = dataclasses.field(default_factory=set)
+    next_turn_at: float = float("-inf")
+    retry_at: float = float("-inf")
+    trial_running: bool = False
+    denied_names: set[str] = dataclasses.field(default_factory=set)
 
 
 class View:
-    """All targets, as one entry host sees them."""
+    """All targets and their state as observed by one entry host."""
 
     def __init__(
         self,
@@ -142,24 +150,24 @@
         domain: str,
         limits: rate_limits_lib.RateLimits | None = None,
     ) -> None:
-        """Knows no target yet.
+        """Initializes a view without targets.
 
         Args:
-            domain: The failure domain of this host.
-            limits: Limits that targets name.
+            domain: Failure domain of this host.
+            limits: Rate limits that targets reported.
         """
         self._domain = domain
         self._limits = limits or rate_limits_lib.RateLimits()
-        # Until when targets take nothing because of their limits.
-        self._blocked: dict[str, float] = {}
+        # Time until which a target takes no requests because of its limit.
+        self._blocked_until: dict[str, float] = {}
         self._targets: dict[str, site_messages.Target] = {}
         self._by_service: dict[str, list[str]] = {}
-        self._seen: dict[str, _Seen] = {}
-        # When a model is expected to be there, by target.
-        self._coming: dict[str, dict[str, float]] = {}
-        self._sessions: dict[tuple[str, str], str] = {}
-        self._others: dict[str, int] = {}
-        self._others_at = float("-inf")
+        self._states: dict[str, _TargetState] = {}
+        # Expected completion time of model loads, by target and model.
+        self._loads_expected_at: dict[str, dict[str, float]] = {}
+        self._session_targets: dict[tuple[str, str], str] = {}
+        self._other_loads: dict[str, int] = {}
+        self._other_loads_at = float("-inf")
         self._hosts = 1
 
     def __repr__(self) -> str:
@@ -171,8 +179,8 @@
         return dict(self._targets)
 
     def running(self, target: str) -> int:
-        """Returns how many requests of this host run on a target."""
-        return self._seen[target].running if target in self._seen else 0
+        """Returns the number of this host's requests that run on a target."""
+        return self._states[target].running if target in self._states else 0
 
     def set_targets(
         self,
@@ -180,53 +188,54 @@
         gone: Collection[str],
         now: float = 0.0,
     ) -> None:
-        """Takes over what the leader says.
+        """Applies a table update of the leader.
 
         Args:
-            changed: Targets that are new or different.
-            gone: Names of those that are gone.
-            now: The time, from which models on their way are reckoned.
+            changed: Targets that are new or have changed.
+            gone: Names of targets that were removed.
+            now: Current time; remaining load times of models count from it.
         """
         for target in changed:
             name = target.said.name
-            known = self._targets.get(name)
-            if known is not None and known.said.order > target.said.order:
+            current = self._targets.get(name)
+            if current is not None and current.said.order > target.said.order:
                 continue
-            restarted = known is not None and (
-                known.said.born != target.said.born
+            restarted = current is not None and (
+                current.said.born != target.said.born
             )
-            if restarted or name not in self._seen:
-                before = self._seen.get(name, _Seen())
-                self._seen[name] = _Seen(
-                    running=before.running,
-                    models=before.models,
-                    starting=before.starting,
+            if restarted or name not in self._states:
+                previous = self._states.get(name, _TargetState())
+                self._states[name] = _TargetState(
+                    running=previous.running,
+                    models=previous.models,
+                    starting=previous.starting,
                 )
-            if known != target:
-                self._seen[name].denied.clear()
+            if current != target:
+                self._states[name].denied_names.clear()
             self._targets[name] = target
-            self._coming[name] = {
-                each.model: now + each.seconds for each in target.coming
+            self._loads_expected_at[name] = {
+                loading.model: now + loading.seconds
+                for loading in target.coming
             }
         for name in gone:
             self._targets.pop(name, None)
-            self._coming.pop(name, None)
-            self._blocked.pop(name, None)
-            if name in self._seen and not self._seen[name].running:
-                del self._seen[name]
+            self._loads_expected_at.pop(name, None)
+            self._blocked_until.pop(name, None)
+            if name in self._states and not self._states[name].running:
+                del self._states[name]
         self._by_service = {}
         for name, target in self._targets.items():
             self._by_service.setdefault(target.said.service, []).append(name)
 
     def set_turn(self, target: str, when: float) -> None:
-        """Notes when an engine's owner gives the next turn."""
-        if target in self._seen:
-            self._seen[target].turn = when
+        """Records when an engine's turn owner grants the next prefill turn."""
+        if target in self._states:
+            self._states[target].next_turn_at = when
 
     def set_loads(self, others: Mapping[str, int], now: float) -> None:
-        """Takes over what other entry hosts have running, by target."""
-        self._others = dict(others)
-        self._others_at = now
+        """Sets the number of requests of other entry hosts, by target."""
+        self._other_loads = dict(others)
+        self._other_loads_at = now
 
     def set_all_loads(self, loads: Mapping[str, int], now: float) -> None:
         """Sets the loads of others from the loads of all entry hosts.
@@ -236,9 +245,9 @@
         """
         others = {}
         for name, load in loads.items():
-            seen = self._seen.get(name)
-            if seen is not None:
-                load -= seen.running + sum(seen.starting.values())
+            state = self._states.get(name)
+            if state is not None:
+                load -= state.running + sum(state.starting.values())
             if load > 0:
                 others[name] = load
         self.set_loads(others, now)
@@ -248,28 +257,31 @@
         self._hosts = max(1, hosts)
 
     def is_rate_limited(self, said: registry_lib.Registration) -> bool:
-        """Whether a target names a limit."""
+        """Returns whether a target reports a rate limit."""
         return self._limits.rate(said.name, said.born) is not None
 
     def block(self, target: str, until: float) -> None:
-        """Leaves a target alone for some time because of its limit."""
-        self._blocked[target] = until
+        """Sends no requests to a target until a time because of its limit."""
+        self._blocked_until[target] = until
 
     def still_takes(self, said: registry_lib.Registration, ask: Ask) -> bool:
-        """Whether a target that was picked earlier may still be sent to."""
+        """Returns whether a target selected earlier can still be used."""
         target = self._targets.get(said.name)
         if target is None or target.said.born != said.born:
             return False
-        holds = not ask.model or self._holds(said.name, ask.model)
-        return holds and not target.said.draining
+        has_model = not ask.model or self._has_model(said.name, ask.model)
+        return has_model and not target.said.draining
 
-    def pick(self, ask: Ask, now: float, *, limit: int) -> Picked | NotThere:
-        """Chooses a target.
+    def pick(self, ask: Ask, now: float, *, limit: int) -> Picked | Unavailable:
+        """Selects a target for a request.
 
         Args:
-            ask: What the request needs.
-            now: The time.
-            limit: Most requests of this host on one target.
+            ask: Requirements of the request.
+            now: Current time.
+            limit: Maximum number of this host's requests on one target.
+
+        Returns:
+            The target, or the reason why there is none.
         """
         names = [
             name
@@ -277,241 +289,251 @@
             if not self._targets[name].said.draining and name not in ask.tried
         ]
         if not names:
-            return NotThere(reason="no_target")
+            return Unavailable(reason="no_target")
         if ask.model:
-            there = names
-            names = [n for n in there if self._holds(n, ask.model)]
+            candidates = names
+            names = [n for n in candidates if self._has_model(n, ask.model)]
             if not names:
-                expected = self._expected(there, ask.model, now)
-                return NotThere(reason="no_model", expected=expected)
+                expected = self._expected_at(candidates, ask.model, now)
+                return Unavailable(reason="no_model", expected=expected)
         if ask.adapter:
-            wanted = f"{ask.model}/{ask.adapter}"
-            names = [n for n in names if self._holds_adapter(n, wanted)]
+            adapter_name = f"{ask.model}/{ask.adapter}"
+            names = [n for n in names if self._has_adapter(n, adapter_name)]
             if not names:
-                return NotThere(reason="no_adapter")
-        sound = [n for n in names if self._is_sound(n, now)]
-        if not sound:
-            return NotThere(reason="all_failing")
-        names = [n for n in sound if self._seen[n].running < limit]
+                return Unavailable(reason="no_adapter")
+        healthy = [n for n in names if self._is_healthy(n, now)]
+        if not healthy:
+            return Unavailable(reason="all_failing")
+        names = [n for n in healthy if self._states[n].running < limit]
         if ask.model:
-            names = [n for n in names if self._has_place(n, ask, now)]
+            names = [n for n in names if self._has_free_slot(n, ask, now)]
         if not names:
-            return NotThere(reason="full")
-        free = [n for n in names if not self._is_blocked(n, now)]
-        if not free:
-            again = min(self._blocked[name] for name in names)
-            return NotThere(reason="rate_limited", expected=again)
-        return self._least_loaded(ask, free, now)
+            return Unavailable(reason="full")
+        unblocked = [n for n in names if not self._is_blocked(n, now)]
+        if not unblocked:
+            unblocked_at = min(self._blocked_until[name] for name in names)
+            return Unavailable(reason="rate_limited", expected=unblocked_at)
+        return self._least_loaded(ask, unblocked, now)
 
     def _is_blocked(self, name: str, now: float) -> bool:
-        until = self._blocked.get(name)
+        until = self._blocked_until.get(name)
         if until is None:
             return False
         if until <= now or not self.is_rate_limited(self._targets[name].said):
-            del self._blocked[name]
+            del self._blocked_until[name]
             return False
         return True
 
-    def _expected(
+    def _expected_at(
         self, names: Collection[str], model: str, now: float
     ) -> float | None:
-        """Returns when the first of some targets will hold a model."""
+        """Returns the earliest time at which a target will have a model."""
         times = [
-            self._coming[name][model]
+            self._loads_expected_at[name][model]
             for name in names
-            if model in self._coming.get(name, {})
+            if model in self._loads_expected_at.get(name, {})
         ]
-        # One that is overdue may come at any moment.
+        # An overdue load may complete at any moment.
         return max(now, min(times)) if times else None
 
-    def _holds(self, name: str, model: str) -> bool:
+    def _has_model(self, name: str, model: str) -> bool:
         target = self._targets[name]
         return (
             any(loaded.model == model for loaded in target.said.loaded)
             and model not in target.closing
-            and model not in self._seen[name].denied
+            and model not in self._states[name].denied_names
         )
 
-    def _holds_adapter(self, name: str, adapter: str) -> bool:
+    def _has_adapter(self, name: str, adapter: str) -> bool:
         return (
             adapter in self._targets[name].adapters
-            and adapter not in self._seen[name].denied
+            and adapter not in self._states[name].denied_names
         )
 
-    def _has_place(self, name: str, ask: Ask, now: float) -> bool:
-        """Whether an engine should get one more request."""
+    def _has_free_slot(self, name: str, ask: Ask, now: float) -> bool:
+        """Returns whether an engine should get one more request."""
         slots = self._targets[name].said.slots
         share = 1.0
         if ask.waits:
-            share = _FULL_SHARE - _FULL_STEP * min(ask.rank, _LAST_STEP)
-        running = self._seen[name].running
-        if now - self._others_at > _LOADS_OLD_SECONDS:
-            # Without a leader nobody says what others run there; each alone
-            # would fill it, and it would get several times its slots.
+            share = _MAX_SLOT_SHARE - _SLOT_SHARE_PER_RANK * min(
+                ask.rank, _MAX_RANK_STEPS
+            )
+        running = self._states[name].running
+        if now - self._other_loads_at > _LOADS_STALE_SECONDS:
+            # Without a leader the load of other hosts is unknown. If each host
+            # filled the engine on its own, it would get several times as many
+            # requests as it has slots.
             running *= self._hosts
         else:
-            running += self._others.get(name, 0)
+            running += self._other_loads.get(name, 0)
         return running < max(1.0, slots * share)
 
-    def _is_sound(self, name: str, now: float) -> bool:
-        """Whether a target may get a request now."""
-        seen = self._seen[name]
-        if seen.failures >= _FAILURES:
-            return now >= seen.until and not seen.trial
-        if seen.waiting_since is not None and seen.running:
-            # Requests sent long ago and not a byte since: it hangs, or the
-            # way to it is cut. More requests would hang with them.
-            quiet = now - max(seen.heard, seen.waiting_since)
-            if quiet > _MUTE_SECONDS:
+    def _is_healthy(self, name: str, now: float) -> bool:
+        """Returns whether a target may get a request now."""
+        state = self._states[name]
+        if state.failures >= _EJECTION_FAILURES:
+            return now >= state.retry_at and not state.trial_running
+        if state.waiting_since is not None and state.running:
+            # No bytes received although requests run: the target hangs or is
+            # unreachable, and further requests would hang as well.
+            silence = now - max(state.last_byte_at, state.waiting_since)
+            if silence > _SILENCE_SECONDS:
                 return False
-        return now >= seen.until
+        return now >= state.retry_at
 
     def _least_loaded(self, ask: Ask, names: list[str], now: float) -> Picked:
-        last = self._sessions.get((ask.model, ask.session), "")
-        best, least, reason = "", float("inf"), ""
+        last_target = self._session_targets.get((ask.model, ask.session), "")
+        best, lowest_load, reason = "", float("inf"), ""
         for name in names:
-            target, seen = self._targets[name], self._seen[name]
+            target, state = self._targets[name], self._states[name]
             slots = max(1, target.said.slots)
-            # Prompts that are still to be read weigh twice: they are what
-            # makes others wait.
-            load = seen.running + sum(seen.starting.values()) + 1.0
-            load += self._others.get(name, 0)
-            load += _TURN_REQUESTS * max(0.0, seen.turn - now)
-            why = "load"
+            # Requests whose prompt is not processed yet count twice: they
+            # delay the others.
+            load = state.running + sum(state.starting.values()) + 1.0
+            load += self._other_loads.get(name, 0)
+            load += _REQUESTS_PER_TURN_SECOND * max(
+                0.0, state.next_turn_at - now
+            )
+            candidate_reason = "load"
             if target.said.domain != self._domain:
-                load += min(_AWAY_REQUESTS, _AWAY_SHARE * slots)
+                load += min(
+                    _REMOTE_DOMAIN_REQUESTS, _REMOTE_DOMAIN_SLOT_SHARE * slots
+                )
             else:
-                why = "near"
-            if ask.session and name == last:
-                load -= _KNOWN_SESSION
-                why = "session"
+                candidate_reason = "near"
+            if ask.session and name == last_target:
+                load -= _SESSION_AFFINITY_REQUESTS
+                candidate_reason = "session"
             if target.said.warm_in > 0:
                 load *= 2
-            fresh = self._limits.age(name, now) < _LIMIT_SECONDS
-            if fresh and self.is_rate_limited(target.said):
-                load += _LIMITED_REQUESTS
+            is_recent = self._limits.age(name, now) < _RATE_LIMIT_FRESH_SECONDS
+            if is_recent and self.is_rate_limited(target.said):
+                load += _RATE_LIMITED_REQUESTS
             if target.silent:
-                load += _SILENT_REQUESTS
-            # Between equals the session decides, so that its requests meet
-            # again at the target which has read their shared parts.
-            load += _spread(ask.session or ask.model, name)
-            if load < least:
-                best, least, reason = name, load, why
+                load += _SILENT_TARGET_REQUESTS
+            # Ties are broken by session, so that its requests go to the same
+            # target, whose cache has the shared parts of the prompt.
+            load += _tie_breaker(ask.session or ask.model, name)
+            if load < lowest_load:
+                best, lowest_load, reason = name, load, candidate_reason
         if ask.session:
-            self._note_session(ask, best)
+            self._record_session(ask, best)
         return Picked(target=self._targets[best], reason=reason)
 
-    def _note_session(self, ask: Ask, name: str) -> None:
+    def _record_session(self, ask: Ask, name: str) -> None:
         key = (ask.model, ask.session)
-        self._sessions.pop(key, None)
-        self._sessions[key] = name
-        if len(self._sessions) > 4096:
-            self._sessions.pop(next(iter(self._sessions)))
+        self._session_targets.pop(key, None)
+        self._session_targets[key] = name
+        if len(self._session_targets) > 4096:
+            self._session_targets.pop(next(iter(self._session_targets)))
 
     def sent(self, target: str, ask: Ask, now: float) -> None:
-        """Notes that a request is sent to a target."""
-        seen = self._seen.setdefault(target, _Seen())
-        seen.running += 1
+        """Records that a request is sent to a target."""
+        state = self._states.setdefault(target, _TargetState())
+        state.running += 1
         key = (ask.model, ask.adapter)
-        seen.models[key] = seen.models.get(key, 0) + 1
-        seen.starting[key] = seen.starting.get(key, 0) + 1
-        if seen.waiting_since is None:
-            seen.waiting_since = now
-        if seen.failures >= _FAILURES:
-            seen.trial = True
+        state.models[key] = state.models.get(key, 0) + 1
+        state.starting[key] = state.starting.get(key, 0) + 1
+        if state.waiting_since is None:
+            state.waiting_since = now
+        if state.failures >= _EJECTION_FAILURES:
+            state.trial_running = True
 
     def started(self, target: str, ask: Ask) -> None:
-        """Notes that the first event of an answer is there, or its end."""
-        seen = self._seen.get(target)
+        """Records that the first event or the end of an answer arrived."""
+        state = self._states.get(target)
         key = (ask.model, ask.adapter)
-        if seen is not None and seen.starting.get(key):
-            seen.starting[key] -= 1
-            if not seen.starting[key]:
-                del seen.starting[key]
+        if state is not None and state.starting.get(key):
+            state.starting[key] -= 1
+            if not state.starting[key]:
+                del state.starting[key]
 
     def heard(self, target: str, now: float) -> None:
-        """Notes that bytes of an answer came from a target."""
-        seen = self._seen.get(target)
-        if seen is not None:
-            seen.heard = now
-            seen.waiting_since = now
+        """Records that bytes of an answer arrived from a target."""
+        state = self._states.get(target)
+        if state is not None:
+            state.last_byte_at = now
+            state.waiting_since = now
 
     def ended(self, target: str, ask: Ask, now: float, *, failed: bool) -> None:
-        """Notes how a request on a target ended.
+        """Records the result of a request on a target.
 
         Args:
-            target: The target's name.
-            ask: What the request needed.
-            now: The time.
-            failed: Whether the target broke it.
+            target: Name of the target.
+            ask: Requirements of the request.
+            now: Current time.
+            failed: Whether the request failed because of the target.
 
         Returns:
-            Whether this was the last run here of a model that is to go.
+            Whether this was the last request of this host that used a model
+            which the target is about to unload.
         """
-        seen = self._seen.get(target)
-        if seen is None:
+        state = self._states.get(target)
+        if state is None:
             return False
-        seen.running = max(0, seen.running - 1)
+        state.running = max(0, state.running - 1)
         key = (ask.model, ask.adapter)
-        seen.models[key] = seen.models.get(key, 1) - 1
-        if seen.models[key] <= 0:
-            del seen.models[key]
-        seen.trial = False
-        if not seen.running:
-            seen.waiting_since = None
+        state.models[key] = state.models.get(key, 1) - 1
+        if state.models[key] <= 0:
+            del state.models[key]
+        state.trial_running = False
+        if not state.running:
+            state.waiting_since = None
             if target not in self._targets:
-                del self._seen[target]
+                del self._states[target]
                 return False
         closing = (
             self._targets[target].closing if target in self._targets else ()
         )
-        last = ask.model in closing and not any(
-            model == ask.model for model, _ in seen.models
+        is_last_use = ask.model in closing and not any(
+            model == ask.model for model, _ in state.models
         )
         if not failed:
-            seen.failures = 0
-            seen.until = float("-inf")
-            return last
-        seen.failures += 1
-        if seen.failures >= _FAILURES:
-            doubled = _EJECT_SECONDS * 2 ** (seen.failures - _FAILURES)
-            seen.until = now + min(_EJECT_MOST_SECONDS, doubled)
-        return last
+            state.failures = 0
+            state.retry_at = float("-inf")
+            return is_last_use
+        state.failures += 1
+        if state.failures >= _EJECTION_FAILURES:
+            ejection_seconds = _FIRST_EJECTION_SECONDS * 2 ** (
+                state.failures - _EJECTION_FAILURES
+            )
+            state.retry_at = now + min(_MAX_EJECTION_SECONDS, ejection_seconds)
+        return is_last_use
 
     def denied(self, target: str, what: str) -> None:
-        """Notes that a target does not hold a model or adapter.
+        """Records that a target denied to have a model or adapter.
 
-        It counts until the leader says something new of the target.
+        Applies until the leader sends a changed entry for the target.
         """
-        if target in self._seen:
-            self._seen[target].denied.add(what)
+        if target in self._states:
+            self._states[target].denied_names.add(what)
 
     def failing(self, now: float) -> tuple[str, ...]:
-        """Returns the targets that are left alone because they fail."""
+        """Returns the targets that get no requests because they fail."""
         return tuple(
             name
             for name in sorted(self._targets)
-            if self._seen[name].failures >= _FAILURES
-            or not self._is_sound(name, now)
+            if self._states[name].failures >= _EJECTION_FAILURES
+            or not self._is_healthy(name, now)
         )
 
     def uses(self) -> tuple[site_messages.Use, ...]:
-        """Returns how many requests of this host run where for what."""
+        """Returns the running requests by target, model and adapter."""
         return tuple(
             site_messages.Use(
                 name,
                 model,
                 adapter,
                 count,
-                seen.starting.get((model, adapter), 0),
+                state.starting.get((model, adapter), 0),
             )
-            for name, seen in self._seen.items()
-            for (model, adapter), count in seen.models.items()
+            for name, state in self._states.items()
+            for (model, adapter), count in state.models.items()
             if model
         )
 
 
-def _spread(session: str, name: str) -> float:
-    """Returns a number from 0 to 1 that differs by session and target."""
+def _tie_breaker(session: str, name: str) -> float:
+    """Returns a hash of session and target, from 0 to 1."""
     digest = hashlib.blake2b(f"{session}\0{name}".encode(), digest_size=4)
     return int.from_bytes(digest.digest(), "big") / 2**32
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -26,63 +26,72 @@
         self.view = choice_lib.View(domain="a")
 
     def _pick(self, now=0.0, limit=100, **ask):
-        found = self.view.pick(
+        result = self.view.pick(
             choice_lib.Ask(service="s", **ask), now, limit=limit
         )
-        match found:
+        match result:
             case choice_lib.Picked(target=picked):
                 return picked.said.name
-            case choice_lib.NotThere(reason=reason):
+            case choice_lib.Unavailable(reason=reason):
                 return reason
 
     def _send(self, name, now=0.0, **ask):
-        asked = choice_lib.Ask(service="s", **ask)
-        self.view.sent(name, asked, now)
-        self.view.started(name, asked)
+        requirements = choice_lib.Ask(service="s", **ask)
+        self.view.sent(name, requirements, now)
+        self.view.started(name, requirements)
 
     def _end(self, name, now, *, failed=False, **ask):
-        asked = choice_lib.Ask(service="s", **ask)
-        return self.view.ended(name, asked, now, failed=failed)
+        requirements = choice_lib.Ask(service="s", **ask)
+        return self.view.ended(name, requirements, now, failed=failed)
 
-    def test_only_where_the_model_is(self):
+    def test_pick_requires_model_and_adapter(self):
         self.view.set_targets([target("t1", models=["m"]), target("t2")], [])
         self.assertEqual(self._pick(model="m"), "t1")
         self.assertEqual(self._pick(model="other"), "no_model")
         self.assertEqual(self._pick(model="m", adapter="x"), "no_adapter")
 
-    def test_a_model_about_to_go_gets_nothing_new(self):
+    def test_model_about_to_unload_gets_no_requests(self):
         closing = target("t1", models=["m"], closing=("m",))
         self.view.set_targets([closing], [])
         self.assertEqual(self._pick(model="m"), "no_model")
 
-    def test_no_engine_takes_what_it_cannot_answer_in_time(self):
-        """Requests that a full engine would keep are there for its next copy.
+    def test_waiting_requests_do_not_fill_all_slots_of_an_engine(self):
+        """Guards against requests that wait in a full engine.
 
-        A model is asked for 200 times at once and stands on one engine; an
-        engine of 64 slots answers no more a second with 200 than with 48.
-        What waits goes to a second copy at once when that is loaded.
+        A model that one engine has loaded gets 200 simultaneous requests. An
+        engine of 64 slots completes no more requests per second with 200 than
+        with 48. The others must be free to go to a second copy of the model
+        as soon as it is loaded.
         """
         self.view.set_targets([target("t1", models=["m"])], [])
         sent = {"t1": 0, "t2": 0}
         for _ in range(200):
-            found = self._pick(model="m", waits=True, limit=400)
-            if found in sent:
-                sent[found] += 1
-                self._send(found, model="m")
+            result = self._pick(model="m", waits=True, limit=400)
+            if result in sent:
+                sent[result] += 1
+                self._send(result, model="m")
         self.assertEqual(sent, {"t1": 48, "t2": 0})
         self.view.set_targets([target("t2", models=["m"])], [])
         self.assertEqual(self._pick(model="m", waits=True, limit=400), "t2")
 
-    def test_a_full_engine_has_places_for_the_urgent_only(self):
-        """A less urgent request waits; a more urgent one is sent."""
+    def test_last_slots_are_kept_for_urgent_requests(self):
+        """Guards against less urgent requests that take the last slots.
+
+        With 40 running requests, one of rank 2 waits and one of rank 0 is
+        sent.
+        """
         self.view.set_targets([target("t1", models=["m"])], [])
         for _ in range(40):
             self._send("t1", model="m")
         self.assertEqual(self._pick(model="m", waits=True, rank=2), "full")
         self.assertEqual(self._pick(model="m", waits=True, rank=0), "t1")
 
-    def test_who_cannot_wait_any_longer_gets_an_engine_s_own_queue(self):
-        """A late answer is worth more than none: slots are the last bound."""
+    def test_request_that_cannot_wait_may_use_all_slots(self):
+        """Guards against refusing a request that could be answered late.
+
+        A request that can no longer wait for a slot is limited only by the
+        number of slots.
+        """
         self.view.set_targets([target("t1", models=["m"])], [])
         for _ in range(60):
             self._send("t1", model="m")
@@ -92,16 +101,16 @@
             self._send("t1", model="m")
         self.assertEqual(self._pick(model="m"), "full")
 
-    def test_what_other_hosts_run_counts(self):
+    def test_load_of_other_hosts_counts(self):
         self.view.set_targets([target("t1", models=["m"])], [])
         self.view.set_loads({"t1": 64}, 0.0)
         self.assertEqual(self._pick(model="m"), "full")
 
-    def test_without_a_leader_each_host_takes_its_part_of_an_engine(self):
-        """An engine is not filled by every host while there is no leader.
+    def test_hosts_share_slots_when_loads_are_stale(self):
+        """Guards against every host filling the same engine without a leader.
 
-        What others run there was last heard of long ago; four hosts send to
-        it, and each keeps to a quarter of its slots.
+        The loads of other hosts were last received too long ago. Four hosts
+        send to the engine, so each uses at most a quarter of its slots.
         """
         self.view.set_targets([target("t1", models=["m"])], [])
         self.view.set_loads({}, 0.0)
@@ -112,24 +121,25 @@
         self.view.heard("t1", 5.0)
         self.assertEqual(self._pick(now=5.0, model="m"), "full")
 
-    def test_draining_targets_get_nothing_new(self):
+    def test_draining_targets_get_no_requests(self):
         self.view.set_targets([target("t1", draining=True)], [])
         self.assertEqual(self._pick(), "no_target")
 
-    def test_an_older_word_of_the_leader_changes_nothing(self):
-        """A leaving target gets no new request.
+    def test_older_table_update_is_ignored(self):
+        """Guards against sending requests to a departing target.
 
-        A new leader tells of it from an older report than the one we know.
+        A new leader sends an entry from an older report of the target than
+        the one that is already known.
         """
         self.view.set_targets([target("t1", number=5, draining=True)], [])
         self.view.set_targets([target("t1", number=4)], [])
         self.assertEqual(self._pick(), "no_target")
 
-    def test_what_a_target_denies_to_hold_is_not_sent_again(self):
-        """A request is not refused by the same target over and over.
+    def test_denied_model_is_avoided_until_the_next_table_update(self):
+        """Guards against repeated refusals by the same target.
 
-        The leader's table still names a model that has just gone; the next
-        word of the leader counts again.
+        The leader's table still lists a model that was just unloaded. The
+        denial applies until the leader sends a changed entry.
         """
         self.view.set_targets([target("t1", models=["m"])], [])
         self.view.denied("t1", "m")
@@ -137,7 +147,7 @@
         self.view.set_targets([target("t1", models=["m"], number=2)], [])
         self.assertEqual(self._pick(model="m"), "t1")
 
-    def test_near_until_it_is_much_fuller(self):
+    def test_own_domain_is_preferred_until_much_more_loaded(self):
         self.view.set_targets([target("near"), target("far", domain="b")], [])
         for _ in range(3):
             self.assertEqual(self._pick(), "near")
@@ -145,29 +155,29 @@
         self.view.set_loads({"near": 9}, 0.0)
         self.assertEqual(self._pick(), "far")
 
-    def test_prompts_still_to_be_read_weigh_twice(self):
+    def test_unprocessed_prompts_count_twice(self):
         self.view.set_targets([target("near"), target("far", domain="b")], [])
-        asked = choice_lib.Ask(service="s")
-        self.view.sent("near", asked, 0.0)
+        requirements = choice_lib.Ask(service="s")
+        self.view.sent("near", requirements, 0.0)
         self.assertEqual(self._pick(), "near")
-        self.view.sent("near", asked, 0.0)
-        self.view.sent("near", asked, 0.0)
+        self.view.sent("near", requirements, 0.0)
+        self.view.sent("near", requirements, 0.0)
         self.assertEqual(self._pick(), "far")
         for _ in range(3):
-            self.view.started("near", asked)
+            self.view.started("near", requirements)
         self.assertEqual(self._pick(), "near")
 
-    def test_a_session_returns_to_where_its_prompt_was_read(self):
+    def test_session_returns_to_the_same_target(self):
         self.view.set_targets([target("t1"), target("t2")], [])
         first = self._pick(session="s1")
         self._send(first, session="s1")
         self.assertEqual(self._pick(session="s1"), first)
 
-    def test_failing_targets_are_left_alone_and_tried_again(self):
-        """Callers stop paying for a target that breaks what it is given.
+    def test_failing_target_is_ejected_and_retried(self):
+        """Guards against sending all requests to a target that fails them.
 
-        Two failures in a row; then one trial request at a time, later and
-        later; one success makes it whole again.
+        After two consecutive failures the target gets one trial request at a
+        time, at growing intervals. One success ends the ejection.
         """
         self.view.set_targets([target("t1")], [])
         for _ in range(2):
@@ -180,11 +190,11 @@
         self._end("t1", 2.1)
         self.assertEqual(self._pick(now=2.1), "t1")
 
-    def test_a_mute_target_gets_no_more(self):
-        """Few requests hang with a target that has been cut off.
+    def test_silent_target_gets_no_requests(self):
+        """Guards against further requests that hang on an unreachable target.
 
-        It runs one of ours and not a byte has come for long; when one comes,
-        it gets requests again.
+        The target runs a request of this host and has sent no bytes for too
+        long. It gets requests again once a byte arrives.
         """
         self.view.set_targets([target("t1")], [])
         self._send("t1", now=1.0)
@@ -193,11 +203,12 @@
         self.view.heard("t1", 2.6)
         self.assertEqual(self._pick(now=2.7), "t1")
 
-    def test_targets_that_fail_are_reported(self):
-        """The planner counts them as lost before their reports are missed.
+    def test_failing_and_silent_targets_are_reported(self):
+        """Guards against a planner that detects failed targets too late.
 
-        One breaks what it is given, one is mute; the third is at work and
-        has said something just now.
+        It must treat them as failed before their reports are missed. One
+        target fails its requests, one has sent no bytes for too long, and the
+        third has just sent bytes.
         """
         names = ("broken", "mute", "sound")
         self.view.set_targets([target(name) for name in names], [])
@@ -209,12 +220,12 @@
         self.view.heard("sound", 2.5)
         self.assertEqual(("broken", "mute"), self.view.failing(2.6))
 
-    def test_a_full_target_is_passed_over(self):
+    def test_target_at_the_limit_is_skipped(self):
         self.view.set_targets([target("t1")], [])
         self._send("t1")
         self.assertEqual(self._pick(limit=1), "full")
 
-    def test_the_last_run_of_a_model_that_goes_is_told(self):
+    def test_last_use_of_an_unloading_model_is_reported(self):
         self.view.set_targets([target("t1", models=["m"])], [])
         self._send("t1", model="m")
         self._send("t1", model="m", adapter="x")
@@ -223,7 +234,7 @@
         self.assertFalse(self._end("t1", 1.0, model="m"))
         self.assertTrue(self._end("t1", 1.0, model="m", adapter="x"))
 
-    def test_running_requests_survive_the_loss_of_their_target(self):
+    def test_request_may_end_after_its_target_was_removed(self):
         self.view.set_targets([target("t1")], [])
         self._send("t1")
         self.view.set_targets([], ["t1"])
