--- a/packages/endivestream/src/endivestream/request/allowance.py
+++ b/packages/endivestream/src/endivestream/request/allowance.py
@@ -1,8 +1,10 @@
-"""A team's credit on one entry host. Pure, with time as an argument.
+"""Credit shares of teams on one entry host. Does no I/O.
 
-The leader holds each team's bucket and hands credit out in portions. What a
-host holds is spent without asking. While it hears from no leader it counts on
-the rate that it was last told, for as long as the leader reckons with that.
+The leader owns each team's token bucket and grants credit shares to entry
+hosts. A host spends its share without a request to the leader. While it
+receives nothing from a leader it refills the share at the last granted rate,
+for as long as the leader accounts for that. The current time is passed as an
+argument.
 """
 
 from __future__ import annotations
@@ -12,155 +14,162 @@
 
 from endivestream import site_messages
 
-# A host likes to hold credit for so many seconds of its recent demand: longer
-# than an election, so that none is missed while there is no leader.
+# A host requests credit for this many seconds of its recent demand: longer than
+# an election, so that the share does not run out while there is no leader.
 AHEAD_SECONDS = 1.5
-# Demand is averaged over about so many seconds.
-_AVERAGE_SECONDS = 2.0
-# A host that hears no leader for so long counts on its rate alone: longer than
-# the pause between two renewals, whose refill the leader hands out itself.
-_SILENT_SECONDS = 0.8
-# So long after it last heard a leader it stops. What it spends alone may come
-# on top of what a new leader gives to others, so this bounds the excess: its
-# part of the rate for this time.
-_ALONE_SECONDS = 4.0
-# Credit above this multiple of what is wanted goes back to the leader.
-_SURPLUS = 2.0
+# Approximate time over which demand is averaged.
+_DEMAND_AVERAGE_SECONDS = 2.0
+# A host that has received nothing from a leader for this time refills its
+# shares itself. Longer than the interval between two lease renewals, whose
+# refill the leader grants.
+_LEADER_SILENCE_SECONDS = 0.8
+# The host stops refilling this long after the last answer of a leader. Credit
+# that it adds itself may be spent in addition to what a new leader grants to
+# others. This bounds the excess to the host's part of the rate for this time.
+_MAX_LEADERLESS_SECONDS = 4.0
+# Credit above this multiple of the wanted credit is returned to the leader.
+_MAX_SURPLUS_RATIO = 2.0
 # A team is idle if less credit is wanted than this fraction of its last
 # request's cost. Idle teams are omitted from reports, which keeps renewals
 # small when there are many hosts and teams.
-_IDLE_SHARE = 0.05
+_IDLE_RATIO = 0.05
 
 
 @dataclasses.dataclass(kw_only=True)
-class _Purse:
-    """Credit of one team.
+class _CreditShare:
+    """Credit share of one team.
 
     Attributes:
         balance: Credit that may be spent.
-        demand: Credit a second that was asked for lately.
-        asked: Credit asked for since the last report.
+        demand: Moving average of requested credit per second.
+        requested: Credit requested by callers since the last report.
         last_cost: Cost of the last request.
-        most: The most that the leader lets this host hold.
-        rate: Credit a second to count on without a leader.
-        refilled: When `rate` was last added.
-        short_until: Until when the leader has none to give.
-        told_until: When refused callers were told to come back.
+        max_balance: Maximum credit that the leader lets this host hold.
+        rate: Credit per second to add without a leader.
+        refilled_at: Time up to which `rate` was added.
+        short_until: Time until which the leader has no credit to grant.
+        retry_at: Time at which refused callers should retry.
     """
 
     balance: float = 0.0
     demand: float = 0.0
-    asked: float = 0.0
+    requested: float = 0.0
     last_cost: float = 0.0
-    most: float = math.inf
+    max_balance: float = math.inf
     rate: float = 0.0
-    refilled: float = 0.0
+    refilled_at: float = 0.0
     short_until: float = float("-inf")
-    told_until: float = float("-inf")
+    retry_at: float = float("-inf")
 
 
 class Allowance:
-    """Credit of all teams on this host."""
+    """Credit shares of all teams on this host."""
 
     def __init__(self) -> None:
-        self._purses: dict[str, _Purse] = {}
-        self._heard = float("-inf")
-        self._averaged = float("-inf")
+        self._shares: dict[str, _CreditShare] = {}
+        self._leader_answered_at = float("-inf")
+        self._averaged_at = float("-inf")
 
     def __repr__(self) -> str:
-        return f"<Allowance of {len(self._purses)} teams>"
+        return f"<Allowance of {len(self._shares)} teams>"
 
     @property
     def heard(self) -> float:
-        """When the leader last answered."""
-        return self._heard
+        """Time of the leader's last answer."""
+        return self._leader_answered_at
 
     def balance(self, team: str) -> float:
-        """Returns the credit held for a team."""
-        purse = self._purses.get(team)
-        return purse.balance if purse else 0.0
+        """Returns the credit that this host holds for a team."""
+        share = self._shares.get(team)
+        return share.balance if share else 0.0
 
     def short_for(self, team: str, now: float) -> float:
-        """Returns seconds until the leader has credit again; 0 if it has."""
-        purse = self._purses.get(team)
-        return max(0.0, purse.short_until - now) if purse else 0.0
+        """Returns seconds until the leader has credit; 0 if it has some now."""
+        share = self._shares.get(team)
+        return max(0.0, share.short_until - now) if share else 0.0
 
     def told_for(self, team: str, now: float) -> float:
-        """Returns seconds after which a refused caller should come back."""
-        purse = self._purses.get(team)
-        return max(0.0, purse.told_until - now) if purse else 0.0
+        """Returns seconds after which a refused caller should retry."""
+        share = self._shares.get(team)
+        return max(0.0, share.retry_at - now) if share else 0.0
 
     def ask(self, team: str, cost: float) -> None:
         """Counts a request's cost as demand, whether it is spent or not."""
-        purse = self._purses.setdefault(team, _Purse())
-        purse.asked += cost
-        purse.last_cost = cost
+        share = self._shares.setdefault(team, _CreditShare())
+        share.requested += cost
+        share.last_cost = cost
 
     def spend(self, team: str, cost: float, now: float) -> bool:
         """Takes credit for a request; False if there is too little."""
-        purse = self._purses.setdefault(team, _Purse())
-        self._refill_alone(purse, now)
-        if purse.balance < cost:
+        share = self._shares.setdefault(team, _CreditShare())
+        self._refill_without_leader(share, now)
+        if share.balance < cost:
             return False
-        purse.balance -= cost
+        share.balance -= cost
         return True
 
-    def _refill_alone(self, purse: _Purse, now: float) -> None:
-        since = max(purse.refilled, self._heard + _SILENT_SECONDS)
-        until = min(now, self._heard + _ALONE_SECONDS)
-        if until > since:
-            purse.balance += purse.rate * (until - since)
-            purse.refilled = until
+    def _refill_without_leader(self, share: _CreditShare, now: float) -> None:
+        start = max(
+            share.refilled_at,
+            self._leader_answered_at + _LEADER_SILENCE_SECONDS,
+        )
+        end = min(now, self._leader_answered_at + _MAX_LEADERLESS_SECONDS)
+        if end > start:
+            share.balance += share.rate * (end - start)
+            share.refilled_at = end
 
     def refund(self, team: str, cost: float) -> None:
-        """Gives back the credit of a request that has not run."""
-        purse = self._purses.setdefault(team, _Purse(last_cost=cost))
-        purse.balance += cost
+        """Returns the credit of a request that has not run to the share."""
+        share = self._shares.setdefault(team, _CreditShare(last_cost=cost))
+        share.balance += cost
 
     def needs(self, now: float) -> tuple[site_messages.Need, ...]:
-        """Returns what to report and ask for; starts a new report.
+        """Returns the credit needs to report and starts a new report period.
 
         Idle teams are omitted once their credit has been returned. Amounts are
-        whole numbers.
+        integers.
         """
-        seconds = min(_AVERAGE_SECONDS, max(0.0, now - self._averaged))
-        self._averaged = now
+        seconds = min(
+            _DEMAND_AVERAGE_SECONDS, max(0.0, now - self._averaged_at)
+        )
+        self._averaged_at = now
         needs = []
-        for team, purse in list(self._purses.items()):
+        for team, share in list(self._shares.items()):
             if seconds > 0:
-                share = seconds / _AVERAGE_SECONDS
-                now_asked = purse.asked / seconds
-                purse.demand += share * (now_asked - purse.demand)
-            wanted = purse.demand * AHEAD_SECONDS
-            is_idle = wanted <= _IDLE_SHARE * purse.last_cost
+                weight = seconds / _DEMAND_AVERAGE_SECONDS
+                current_demand = share.requested / seconds
+                share.demand += weight * (current_demand - share.demand)
+            wanted = share.demand * AHEAD_SECONDS
+            is_idle = wanted <= _IDLE_RATIO * share.last_cost
             if is_idle:
                 wanted = 0.0
-            # Taken out before the report leaves: if that is lost, so is the
-            # credit, but it is never both here and at the leader.
-            keep = min(_SURPLUS * wanted, purse.most)
-            returned = float(math.floor(max(0.0, purse.balance - keep)))
-            purse.balance -= returned
-            purse.asked = 0.0
+            # Deducted before the report is sent. If the report is lost, the
+            # credit is lost too, but it never counts both on this host and at
+            # the leader.
+            kept = min(_MAX_SURPLUS_RATIO * wanted, share.max_balance)
+            returned = float(math.floor(max(0.0, share.balance - kept)))
+            share.balance -= returned
+            share.requested = 0.0
             if not is_idle or returned:
-                balance = float(math.ceil(purse.balance))
+                balance = float(math.ceil(share.balance))
                 needs.append(
                     site_messages.Need(
                         team, returned, balance, float(round(wanted))
                     )
                 )
-            elif max(purse.short_until, purse.told_until) < now:
-                del self._purses[team]
+            elif max(share.short_until, share.retry_at) < now:
+                del self._shares[team]
         return tuple(needs)
 
     def take(self, grant: site_messages.Grant, now: float) -> None:
-        """Adds what the leader gives."""
-        purse = self._purses.setdefault(grant.team, _Purse())
-        purse.balance += grant.credit
-        purse.rate = grant.rate
-        purse.most = grant.most
-        purse.short_until = now + grant.short
-        purse.told_until = now + grant.told
+        """Applies a grant of the leader to a team's share."""
+        share = self._shares.setdefault(grant.team, _CreditShare())
+        share.balance += grant.credit
+        share.rate = grant.rate
+        share.max_balance = grant.most
+        share.short_until = now + grant.short
+        share.retry_at = now + grant.told
 
     def heard_leader(self, now: float) -> None:
-        """Notes that the leader answered: it counts the refill from here."""
-        self._heard = now
+        """Records that the leader answered; refills count from this time."""
+        self._leader_answered_at = now
--- a/packages/endivestream/src/endivestream/request/buckets.py
+++ b/packages/endivestream/src/endivestream/request/buckets.py
@@ -1,14 +1,14 @@
-"""A team's token bucket: exact, in integers, refunds idempotent.
+"""Token bucket of a team, in exact integers and with idempotent refunds.
 
-One owner keeps one bucket per team for the whole fleet. A charge either fits
-now, or waits for the refill in the order of arrival, or is refused at once
-when the refill would come after the caller's deadline.
+One owner keeps one bucket per team for all hosts. A charge is admitted
+immediately, or waits for the refill in order of arrival, or is refused
+immediately if the refill would come after the caller's deadline.
 
-The owner may die at any moment, and the next one must not give credit that
-was given already. So the owner spends only from a *portion* that the log has
-set aside: the log holds the level without the portion, and the next owner goes
-on from there. Charges inside a portion commute and need no order among each
-other; only portions are ordered against the change of owner.
+The owner may fail at any moment, and the next owner must not grant the same
+credit again. The owner therefore spends only from a *credit share* that was
+committed to the log in advance: the log has the level without the share, and
+the next owner continues from that level. Charges within a share commute and
+need no order; only shares are ordered relative to a change of owner.
 """
 
 from __future__ import annotations
@@ -17,17 +17,18 @@
 import dataclasses
 from typing import NamedTuple
 
-# Levels are kept in millionths of a token, so that a refill over any number
-# of microseconds is a whole number and nothing is lost to rounding.
-_MICRO = 1_000_000
+# Levels are in millionths of a token and times in microseconds, so that the
+# refill over any number of microseconds is an integer and nothing is lost by
+# rounding.
+_MICROS_PER_UNIT = 1_000_000
 
 
 class Charge(NamedTuple):
-    """Credit asked for one attempt.
+    """Credit requested for one attempt.
 
     Attributes:
-        request: Unique per attempt of a caller's request.
-        tokens: Prompt plus largest generated count.
+        request: Id, unique per attempt of a caller's request.
+        tokens: Prompt tokens plus the maximum number of generated tokens.
     """
 
     request: str
@@ -36,26 +37,26 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Admitted:
-    """The credit was taken."""
+    """The charge was admitted and its credit taken."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Wait:
-    """The charge is queued; `seconds` until its credit is there."""
+    """The charge is queued; its credit is available in `seconds`."""
 
     seconds: float
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TooLarge:
-    """The cost is above the burst and can never fit."""
+    """The charge exceeds the burst and can never be admitted."""
 
     burst: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TooLate:
-    """The credit comes after the deadline; `seconds` until it would."""
+    """The credit would be available in `seconds`, after the deadline."""
 
     seconds: float
 
@@ -63,15 +64,15 @@
 Answer = Admitted | Wait | TooLarge | TooLate
 
 
-class Portion(NamedTuple):
-    """Credit to be set aside for the present owner, in millionths of a token.
+class CreditShare(NamedTuple):
+    """Credit share for the current owner, in millionths of a token.
 
     Attributes:
-        size: What the owner may spend.
-        rest: The level without it, which the next owner may go on from.
-        most: What the next owner may have at most. Without this bound a full
-            bucket would be counted twice: the owner spends its portion at the
-            last moment, and the next one refills the rest to the whole burst.
+        size: Credit that the current owner may spend.
+        rest: Level without the share, from which the next owner continues.
+        most: Maximum level of the next owner. Without this bound a full bucket
+            would be counted twice: the current owner spends its share at the
+            last moment, and the next owner refills the rest to the full burst.
     """
 
     size: int
@@ -80,9 +81,9 @@
 
 
 class Bucket:
-    """One team's credit over all hosts together.
+    """Credit of one team over all hosts.
 
-    Times are microseconds of any clock that does not go back.
+    Times are in microseconds of a monotonic clock.
     """
 
     def __init__(
@@ -90,111 +91,122 @@
     ) -> None:
         self._rate = rate
         self._burst = burst
-        most = burst * _MICRO
-        self._level = most if level is None else max(0, min(level, most))
-        self._portion = 0
-        self._size = 0
-        self._proposed: Portion | None = None
-        # Spent less given back, since the last portion was proposed.
-        self._spent = 0
-        self._at = now
+        capacity = burst * _MICROS_PER_UNIT
+        self._level = (
+            capacity if level is None else max(0, min(level, capacity))
+        )
+        self._share = 0
+        self._share_size = 0
+        self._proposed: CreditShare | None = None
+        # Spent minus refunded credit since the last share was proposed.
+        self._spent_since_proposal = 0
+        self._refilled_at = now
         self._queue: collections.deque[Charge] = collections.deque()
-        self._queued = 0
-        self._open: dict[str, int] = {}
+        self._queued_tokens = 0
+        self._unsettled: dict[str, int] = {}
 
     @property
     def waiting(self) -> int:
-        """How many charges wait for credit."""
+        """Number of charges that wait for credit."""
         return len(self._queue)
 
     @property
     def open(self) -> int:
-        """How many admitted charges were not settled yet."""
-        return len(self._open)
+        """Number of admitted charges that are not settled yet."""
+        return len(self._unsettled)
 
     def level(self, now: int) -> float:
-        """Returns the credit in tokens."""
+        """Returns the level in tokens."""
         self._refill(now)
-        return self._level / _MICRO
+        return self._level / _MICROS_PER_UNIT
 
     def __repr__(self) -> str:
         return (
-            f"<Bucket {self._level // _MICRO}/{self._burst} tokens, "
+            f"<Bucket {self._level // _MICROS_PER_UNIT}/{self._burst} tokens, "
             f"{self._rate}/s, {len(self._queue)} waiting>"
         )
 
     def _refill(self, now: int) -> None:
-        if now <= self._at:
+        if now <= self._refilled_at:
             return
-        gained = (now - self._at) * self._rate
-        self._level = min(self._burst * _MICRO, self._level + gained)
-        self._at = now
+        refill = (now - self._refilled_at) * self._rate
+        self._level = min(self._burst * _MICROS_PER_UNIT, self._level + refill)
+        self._refilled_at = now
 
     @property
     def portion(self) -> float:
-        """Credit in tokens that may be spent without the log."""
-        return self._portion / _MICRO
+        """Credit in tokens that may be spent without another log entry."""
+        return self._share / _MICROS_PER_UNIT
 
-    def propose_portion(self, now: int) -> Portion | None:
-        """Returns a portion to be committed, or None if none is needed.
+    def propose_portion(self, now: int) -> CreditShare | None:
+        """Returns a share to be committed, or None if none is needed.
 
-        It covers what waits, and what the rate gives in a second, but no
-        more than half of the burst unless more waits: all that is set aside
-        is lost to the team when the owner dies. It is renewed when half of it
-        is spent, so that charges seldom wait for the log.
+        The share covers the waiting charges and the refill of one second, but
+        at most half of the burst unless more credit is waited for, because the
+        team loses the share if the owner fails. A new share is proposed when
+        half of the current one is spent, so that charges rarely wait for the
+        log.
         """
         if self._proposed is not None:
             return None
         self._refill(now)
-        usual = min(self._rate, max(1, self._burst // 2)) * _MICRO
-        wanted = max(usual, self._queued * _MICRO)
+        usual_size = (
+            min(self._rate, max(1, self._burst // 2)) * _MICROS_PER_UNIT
+        )
+        wanted = max(usual_size, self._queued_tokens * _MICROS_PER_UNIT)
         size = min(self._level, wanted)
-        first = self._queue[0].tokens * _MICRO if self._queue else 0
-        starved = self._portion < first <= self._level
-        # A team at the end of its credit would otherwise have each few tokens
-        # that it regains set aside, in a commit of their own, for ever.
-        worth = size - self._portion >= usual // 4
-        if not starved and (2 * self._portion >= usual or not worth):
+        first_cost = (
+            self._queue[0].tokens * _MICROS_PER_UNIT if self._queue else 0
+        )
+        is_starved = self._share < first_cost <= self._level
+        # Without this minimum, a team without credit would cause one commit
+        # after another, each for the few tokens refilled since the last one.
+        is_large_enough = size - self._share >= usual_size // 4
+        if not is_starved and (
+            2 * self._share >= usual_size or not is_large_enough
+        ):
             return None
-        self._proposed = Portion(
-            size, self._level - size, self._burst * _MICRO - size
+        self._proposed = CreditShare(
+            size,
+            self._level - size,
+            self._burst * _MICROS_PER_UNIT - size,
         )
-        self._spent = 0
+        self._spent_since_proposal = 0
         return self._proposed
 
-    def confirm_portion(self, portion: Portion) -> None:
-        """Notes that a proposed portion was committed."""
+    def confirm_portion(self, portion: CreditShare) -> None:
+        """Applies a proposed share that was committed."""
         if self._proposed is portion:
-            # What was given back since does not add to it: the next owner
-            # may have everything but its size.
-            self._portion = portion.size - max(0, self._spent)
-            self._size = portion.size
+            # Refunds since the proposal do not increase the share: the next
+            # owner may grant everything except the size of the share.
+            self._share = portion.size - max(0, self._spent_since_proposal)
+            self._share_size = portion.size
             self._proposed = None
 
-    def drop_portion(self, portion: Portion) -> None:
-        """Notes that a proposed portion was not committed."""
+    def drop_portion(self, portion: CreditShare) -> None:
+        """Drops a proposed share that was not committed."""
         if self._proposed is portion:
             self._proposed = None
 
     def _fits(self, tokens: int) -> bool:
-        return tokens * _MICRO <= min(self._level, self._portion)
+        return tokens * _MICROS_PER_UNIT <= min(self._level, self._share)
 
     def change(self, *, rate: int, burst: int, now: int) -> list[Charge]:
-        """Sets a new rate and burst while charges run and wait.
+        """Sets a new rate and burst; running and waiting charges are kept.
 
-        Credit above a smaller burst is lost; a larger burst fills with time.
+        Credit above a smaller burst is lost. A larger burst fills over time.
 
         Returns:
-            Waiting charges that are now above the burst; they can never be
-            admitted and left the queue.
+            Waiting charges that exceed the new burst. They can never be
+            admitted and were removed from the queue.
         """
         self._refill(now)
         self._rate = rate
         self._burst = burst
-        self._level = min(self._level, burst * _MICRO)
-        # A portion of the old burst and one of the new could add up to more
-        # than either; a new one has to be committed first.
-        self._portion = 0
+        self._level = min(self._level, burst * _MICROS_PER_UNIT)
+        # A share of the old burst and one of the new burst together could
+        # exceed either, so a new share has to be committed first.
+        self._share = 0
         self._proposed = None
         dropped = [c for c in self._queue if c.tokens > burst]
         for charge in dropped:
@@ -202,50 +214,52 @@
         return dropped
 
     def charge(self, charge: Charge, *, now: int, deadline: int) -> Answer:
-        """Takes credit, queues, or refuses.
+        """Admits, queues or refuses a charge.
 
         Args:
-            charge: What is asked for. A repeated request is admitted once.
-            now: The time.
-            deadline: The latest time at which credit is of use.
+            charge: The requested credit. A repeated request is charged once.
+            now: Current time.
+            deadline: Latest time at which the credit is useful.
         """
         self._refill(now)
-        if charge.request in self._open:
+        if charge.request in self._unsettled:
             return Admitted()
         if charge.tokens > self._burst:
             return TooLarge(burst=self._burst)
         if not self._queue and self._fits(charge.tokens):
             self._take(charge)
             return Admitted()
-        micros = self._micros_until(self._queued + charge.tokens)
-        if now + micros > deadline:
-            return TooLate(seconds=micros / _MICRO)
+        wait_microseconds = self._microseconds_until(
+            self._queued_tokens + charge.tokens
+        )
+        if now + wait_microseconds > deadline:
+            return TooLate(seconds=wait_microseconds / _MICROS_PER_UNIT)
         if all(waiting.request != charge.request for waiting in self._queue):
             self._queue.append(charge)
-            self._queued += charge.tokens
-        return Wait(seconds=micros / _MICRO)
+            self._queued_tokens += charge.tokens
+        return Wait(seconds=wait_microseconds / _MICROS_PER_UNIT)
 
-    def _micros_until(self, tokens: int) -> int:
-        missing = tokens * _MICRO - self._level
-        return max(0, -(-missing // self._rate))
+    def _microseconds_until(self, tokens: int) -> int:
+        deficit = tokens * _MICROS_PER_UNIT - self._level
+        return max(0, -(-deficit // self._rate))
 
     def _take(self, charge: Charge) -> None:
-        self._spend(charge.tokens * _MICRO)
-        self._open[charge.request] = charge.tokens
+        self._spend(charge.tokens * _MICROS_PER_UNIT)
+        self._unsettled[charge.request] = charge.tokens
 
     def _spend(self, amount: int) -> None:
-        """Takes credit, or gives it back if negative."""
+        """Takes credit, or returns it if the amount is negative."""
         self._level -= amount
-        self._portion = min(self._size, self._portion - amount)
-        self._spent += amount
+        self._share = min(self._share_size, self._share - amount)
+        self._spent_since_proposal += amount
 
     def ready(self, now: int) -> list[Charge]:
-        """Admits the waiting charges whose credit is there, in order."""
+        """Admits waiting charges whose credit is available, in order."""
         self._refill(now)
         admitted = []
         while self._queue and self._fits(self._queue[0].tokens):
             charge = self._queue.popleft()
-            self._queued -= charge.tokens
+            self._queued_tokens -= charge.tokens
             self._take(charge)
             admitted.append(charge)
         return admitted
@@ -255,33 +269,34 @@
         if not self._queue:
             return None
         self._refill(now)
-        return now + self._micros_until(self._queue[0].tokens)
+        return now + self._microseconds_until(self._queue[0].tokens)
 
     def cancel(self, request: str) -> None:
-        """Takes a waiting charge out of the queue."""
+        """Removes a waiting charge from the queue."""
         for charge in self._queue:
             if charge.request == request:
                 self._queue.remove(charge)
-                self._queued -= charge.tokens
+                self._queued_tokens -= charge.tokens
                 return
 
     def settle(self, request: str, *, used: int, now: int) -> int:
-        """Gives back what an admitted charge did not use.
+        """Refunds the unused credit of an admitted charge.
 
-        Idempotent: a second settlement of the same request, or one that was
-        never admitted, gives back nothing. A target that generated more than
-        was charged costs nothing extra: the maximum was passed to it.
+        Idempotent: a second settlement of the same request, or one for a
+        request that was never admitted, refunds nothing. A target that
+        generated more tokens than were charged costs nothing extra, because
+        the maximum was passed to it.
 
         Returns:
-            Tokens given back.
+            Number of refunded tokens.
         """
-        charged = self._open.pop(request, None)
+        charged = self._unsettled.pop(request, None)
         if charged is None:
             return 0
         refund = max(0, charged - max(0, used))
         self._refill(now)
-        # A refund is credit that was taken and not used; it may not lift the
-        # level above the burst, or a later window would exceed its bound.
-        room = self._burst * _MICRO - self._level
-        self._spend(-min(refund * _MICRO, room))
+        # A refund must not raise the level above the burst; otherwise a later
+        # time window would exceed its bound.
+        headroom = self._burst * _MICROS_PER_UNIT - self._level
+        self._spend(-min(refund * _MICROS_PER_UNIT, headroom))
         return refund
--- a/tests/test_buckets.py
+++ b/tests/test_buckets.py
@@ -14,7 +14,7 @@
         self.bucket = buckets.Bucket(rate=RATE, burst=BURST, now=0)
 
     def _charge(self, name, tokens, *, now=0, deadline=100 * SECOND):
-        """Charges; what has its credit is set aside and admitted."""
+        """Charges; commits a share and admits if the credit is available."""
         charge = buckets.Charge(name, tokens)
         answer = self.bucket.charge(charge, now=now, deadline=deadline)
         if answer == buckets.Wait(seconds=0.0):
@@ -29,7 +29,7 @@
         if portion is not None:
             self.bucket.confirm_portion(portion)
 
-    def test_waits_when_the_refill_comes_in_time(self):
+    def test_charge_waits_if_the_refill_meets_the_deadline(self):
         self.assertEqual(self._charge("a", BURST), buckets.Admitted())
         self.assertEqual(self._charge("b", 200), buckets.Wait(seconds=0.5))
         self._commit(SECOND // 2 - 1)
@@ -38,7 +38,7 @@
         (admitted,) = self.bucket.ready(SECOND // 2)
         self.assertEqual(admitted.request, "b")
 
-    def test_nothing_is_spent_that_was_not_set_aside(self):
+    def test_credit_outside_a_committed_share_is_not_spent(self):
         charge = buckets.Charge("a", 10)
         answer = self.bucket.charge(charge, now=0, deadline=SECOND)
         self.assertEqual(answer, buckets.Wait(seconds=0.0))
@@ -50,13 +50,13 @@
         self._commit(0)
         self.assertEqual(self.bucket.ready(0), [charge])
 
-    def test_refuses_at_once_when_it_comes_too_late(self):
+    def test_charge_is_refused_if_the_refill_misses_the_deadline(self):
         self._charge("a", BURST)
         answer = self._charge("b", 500, deadline=SECOND)
         self.assertEqual(answer, buckets.TooLate(seconds=1.25))
         self.assertEqual(self.bucket.waiting, 0)
 
-    def test_cost_above_the_burst_never_fits(self):
+    def test_cost_above_the_burst_is_refused(self):
         answer = self._charge("a", BURST + 1)
         self.assertEqual(answer, buckets.TooLarge(burst=BURST))
 
@@ -65,34 +65,35 @@
         self.assertIsInstance(self._charge("b", 100), buckets.Wait)
         self.assertIsInstance(self._charge("c", 1), buckets.Wait)
 
-    def test_second_settlement_gives_nothing(self):
+    def test_second_settlement_refunds_nothing(self):
         self._charge("a", 400)
         self.assertEqual(self.bucket.settle("a", used=100, now=0), 300)
         self.assertEqual(self.bucket.settle("a", used=0, now=0), 0)
         self.assertEqual(self.bucket.level(0), BURST - 100)
 
-    def test_refund_does_not_lift_the_level_above_the_burst(self):
+    def test_refund_does_not_raise_the_level_above_the_burst(self):
         self._charge("a", 400)
         self.assertEqual(self.bucket.level(8 * SECOND), BURST)
         self.bucket.settle("a", used=0, now=8 * SECOND)
         self.assertEqual(self.bucket.level(8 * SECOND), BURST)
 
-    def test_refund_does_not_grow_a_portion_past_its_size(self):
-        """The next owner may have everything but the portion's size.
+    def test_refund_does_not_raise_a_share_above_its_size(self):
+        """Guards against granting the same credit twice after a failover.
 
-        A charge from before the portion is given back; the bucket fills; the
-        owner spends what it has and dies, the next one has the rest.
+        A charge from before the share is refunded and the bucket fills. If
+        the owner spent more than the size of the share and failed, the next
+        owner would grant the rest as well.
         """
         self._charge("a", 100)
         self._charge("b", 350)
-        size = self.bucket.propose_portion(0)
-        self.assertIsNotNone(size)
-        self.bucket.confirm_portion(size)
+        share = self.bucket.propose_portion(0)
+        self.assertIsNotNone(share)
+        self.bucket.confirm_portion(share)
         self.bucket.settle("a", used=0, now=0)
-        self.assertEqual(self.bucket.portion, size.size / SECOND)
+        self.assertEqual(self.bucket.portion, share.size / SECOND)
 
     def test_empty_bucket_does_not_commit_every_token(self):
-        """A team over its rate costs few commits, not one after another."""
+        """Guards against frequent commits for a team that exceeds its rate."""
         self._charge("a", BURST)
         self.bucket.charge(
             buckets.Charge("b", 900), now=0, deadline=100 * SECOND
@@ -105,17 +106,17 @@
                 commits += 1
         self.assertLessEqual(commits, 8)
 
-    def test_changed_burst_needs_a_new_portion(self):
-        """A portion of the old burst beside a new one would exceed both."""
+    def test_changed_burst_needs_a_new_share(self):
+        """Guards against shares of the old and new burst that add up."""
         self._charge("a", 10)
         self.assertGreater(self.bucket.portion, 0)
-        late = self.bucket.propose_portion(0)
+        pending = self.bucket.propose_portion(0)
         self.bucket.change(rate=RATE, burst=500, now=0)
-        if late is not None:
-            self.bucket.confirm_portion(late)
+        if pending is not None:
+            self.bucket.confirm_portion(pending)
         self.assertEqual(self.bucket.portion, 0)
 
-    def test_lower_burst_drops_what_can_never_fit(self):
+    def test_lower_burst_drops_charges_above_it(self):
         self._charge("a", BURST)
         self._charge("b", 900)
         (dropped,) = self.bucket.change(rate=RATE, burst=500, now=0)
@@ -123,19 +124,19 @@
         self.assertIsNone(self.bucket.next_ready(0))
 
 
-class _Run:
-    """An owner of one bucket, the log, and callers; driven by one seed."""
+class _Simulation:
+    """Simulates the owner of a bucket, the log and callers from one seed."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
         self.now = 0
         self.bucket = buckets.Bucket(rate=RATE, burst=BURST, now=0)
-        self.names = 0
+        self.charges = 0
         self.open = {}
         self.waiting = {}
         self.events = []
         self.proposed = None
-        self.logged = None
+        self.committed = None
 
     def _admit(self, name, tokens):
         self.open[name] = tokens
@@ -153,7 +154,7 @@
             case "charge":
                 self._charge()
             case "greed":
-                self._greed()
+                self._charge_all()
             case "again" if self.open:
                 name = rng.choice(list(self.open))
                 charge = buckets.Charge(name, self.open[name])
@@ -168,9 +169,9 @@
                 self.bucket.cancel(name)
                 del self.waiting[name]
             case "log":
-                self._log()
+                self._commit_or_drop()
             case "die":
-                self._die()
+                self._fail_over()
         for charge in self.bucket.ready(self.now):
             self._admit(charge.request, self.waiting.pop(charge.request))
         if self.proposed is None:
@@ -179,8 +180,8 @@
         assert self.bucket.open == len(self.open)
 
     def _charge(self):
-        self.names += 1
-        name = str(self.names)
+        self.charges += 1
+        name = str(self.charges)
         tokens = self.rng.choice((1, 30, 100, 400, BURST, BURST + 1))
         patience = self.rng.choice((0, SECOND, 30 * SECOND))
         charge = buckets.Charge(name, tokens)
@@ -197,11 +198,11 @@
             case buckets.TooLarge():
                 assert tokens > BURST
 
-    def _greed(self):
-        """Takes all that can be had at once, while portions come and go."""
+    def _charge_all(self):
+        """Takes all available credit while shares are committed."""
         for _ in range(60):
-            self.names += 1
-            charge = buckets.Charge(str(self.names), 25)
+            self.charges += 1
+            charge = buckets.Charge(str(self.charges), 25)
             answer = self.bucket.charge(charge, now=self.now, deadline=self.now)
             if answer == buckets.Admitted():
                 self._admit(charge.request, 25)
@@ -210,7 +211,7 @@
             if self.proposed is None:
                 self.proposed = self.bucket.propose_portion(self.now)
             if self.rng.random() < 0.2:
-                self._log()
+                self._commit_or_drop()
 
     def _settle(self, name):
         used = self.rng.choice((0, 1, 50, self.open[name], 2 * BURST))
@@ -219,29 +220,29 @@
         assert self.bucket.settle(name, used=0, now=self.now) == 0
         self.events.append((self.now, -refund))
 
-    def _log(self):
-        """What was proposed is committed, or lost."""
+    def _commit_or_drop(self):
+        """Commits or drops the proposed share."""
         if self.proposed is None:
             return
         if self.rng.random() < 0.9:
-            self.logged = (self.proposed, self.now)
+            self.committed = (self.proposed, self.now)
             self.bucket.confirm_portion(self.proposed)
         else:
             self.bucket.drop_portion(self.proposed)
         self.proposed = None
 
-    def _die(self):
-        """The next owner goes on from the log.
+    def _fail_over(self):
+        """Replaces the owner by one that continues from the log.
 
-        What was proposed last may have been committed without the dead
-        owner's knowing; what waited asks again.
+        The last proposal may have been committed although the failed owner
+        received no confirmation. Callers of waiting charges charge again.
         """
         if self.proposed is not None and self.rng.random() < 0.5:
-            self.logged = (self.proposed, self.now)
+            self.committed = (self.proposed, self.now)
         level = 0
-        if self.logged is not None:
-            portion, heard = self.logged
-            refilled = portion.rest + RATE * (self.now - heard)
+        if self.committed is not None:
+            portion, committed_at = self.committed
+            refilled = portion.rest + RATE * (self.now - committed_at)
             level = min(refilled, portion.most)
         self.bucket = buckets.Bucket(
             rate=RATE, burst=BURST, now=self.now, level=level
@@ -264,14 +265,14 @@
     @hypothesis.settings(max_examples=400)
     @hypothesis.given(st.integers(0, 2**32))
     def test_no_window_gives_more_than_rate_and_burst(self, seed):
-        """A team never gets more than its rate and burst, whoever dies.
+        """Guards against granting more than rate and burst after a failover.
 
-        Charges, repeats, late and doubled settlements, cancellations,
-        portions committed, late or lost, and owners that die come in any
-        order. In every window what was admitted, less what was given back in
-        it, is at most burst + rate x window.
+        Charges, repeated charges, late and duplicate settlements,
+        cancellations, shares that are committed, late or lost, and failures
+        of the owner occur in any order. In every time window the admitted
+        minus the refunded credit is at most burst + rate x window.
         """
-        run = _Run(seed)
+        simulation = _Simulation(seed)
         for _ in range(120):
-            run.step()
-        run.check_windows()
+            simulation.step()
+        simulation.check_windows()
