--- a/packages/endivestream/src/endivestream/request/demand.py
+++ b/packages/endivestream/src/endivestream/request/demand.py
@@ -1,8 +1,9 @@
-"""How often each model is asked for on one host. Pure, with time given.
+"""Request rates of models on one entry host. Does no I/O.
 
-Hosts keep the averages, not the planner: a new leader then plans from the
-demand of the last seconds with its first reports, instead of gathering it
-anew while engines fill up.
+The averages are kept by entry hosts, not by the planner. With the first
+reports a new leader can therefore plan from the demand of the last seconds
+instead of measuring it again while engines fill up. The current time is passed
+as an argument.
 """
 
 from __future__ import annotations
@@ -10,40 +11,42 @@
 import dataclasses
 import math
 
-# Demand is averaged over about so many seconds: long enough to smooth a second
-# without requests, short enough to follow a shift of a few seconds.
-_AVERAGE_SECONDS = 4.0
-# Rates below this many requests a second are forgotten: a single request
+# Time constant of the averages: long enough to smooth a second without
+# requests, short enough to follow a shift of demand within a few seconds.
+_AVERAGING_SECONDS = 4.0
+# Rates below this many requests per second are dropped: a single request
 # counts for about ten seconds.
-_LEAST_RATE = 0.02
-# Rates are rounded to multiples of this many requests a second: numbers with
+_MIN_RATE = 0.02
+# Rates are rounded to multiples of this many requests per second: numbers with
 # few digits take less space in a packed frame.
 _RATE_STEP = 1 / 256
 
 
 @dataclasses.dataclass(kw_only=True)
 class _Meter:
-    """One average.
+    """Exponentially decaying count of requests.
 
     Attributes:
-        sum: Requests, each weighing less the longer ago it came.
-        at: When the sum was last brought up to date.
+        decayed_count: Number of requests, weighted less with increasing age.
+        updated_at: Time at which the count was last decayed.
     """
 
-    sum: float = 0.0
-    at: float = 0.0
+    decayed_count: float = 0.0
+    updated_at: float = 0.0
 
-    def bring_up(self, now: float) -> None:
-        """Lets what was counted age."""
-        self.sum *= math.exp(-(now - self.at) / _AVERAGE_SECONDS)
-        self.at = now
+    def decay(self, now: float) -> None:
+        """Reduces the weight of counted requests by their age."""
+        self.decayed_count *= math.exp(
+            -(now - self.updated_at) / _AVERAGING_SECONDS
+        )
+        self.updated_at = now
 
 
 class Meters:
-    """Requests a second by service, model and adapter."""
+    """Request rates by service, model and adapter."""
 
     def __init__(self, *, now: float) -> None:
-        self._since = now
+        self._started_at = now
         self._meters: dict[tuple[str, str, str], _Meter] = {}
 
     def __repr__(self) -> str:
@@ -51,24 +54,24 @@
 
     def count(self, key: tuple[str, str, str], now: float) -> None:
         """Counts one request."""
-        meter = self._meters.setdefault(key, _Meter(at=now))
-        meter.bring_up(now)
-        meter.sum += 1.0
+        meter = self._meters.setdefault(key, _Meter(updated_at=now))
+        meter.decay(now)
+        meter.decayed_count += 1.0
 
     def rates(self, now: float) -> dict[tuple[str, str, str], float]:
-        """Returns requests a second of all that is asked for.
+        """Returns the rates in requests per second.
 
-        A process that has run for less than the average counts only the time
-        that it has run; else its first seconds would look quiet.
+        A process that has run for less than the averaging time divides by its
+        run time; otherwise the rates would be too low at first.
         """
-        seconds = _AVERAGE_SECONDS * -math.expm1(
-            -max(0.1, now - self._since) / _AVERAGE_SECONDS
+        seconds = _AVERAGING_SECONDS * -math.expm1(
+            -max(0.1, now - self._started_at) / _AVERAGING_SECONDS
         )
         rates = {}
         for key, meter in list(self._meters.items()):
-            meter.bring_up(now)
-            rate = meter.sum / seconds
-            if rate < _LEAST_RATE:
+            meter.decay(now)
+            rate = meter.decayed_count / seconds
+            if rate < _MIN_RATE:
                 del self._meters[key]
             else:
                 rates[key] = round(rate / _RATE_STEP) * _RATE_STEP
--- a/packages/endivestream/src/endivestream/request/generation.py
+++ b/packages/endivestream/src/endivestream/request/generation.py
@@ -1,4 +1,4 @@
-"""What a caller asks of a model, read and checked before anything is spent."""
+"""Parsing and validation of completion requests, before credit is spent."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 from endivestream.request import prefixes
 from endivestream.version import rules as rules_lib
 
-# A larger number cannot be meant, and would be charged in full.
-_MOST_TOKENS = 1_000_000
+# A larger number is a mistake, and would be charged in full.
+_MAX_REQUESTED_TOKENS = 1_000_000
 
 
 class Generation(NamedTuple):
     """One completion to be generated.
 
     Attributes:
-        model: The model or adapter asked for.
+        model: The requested model or adapter.
         needs: The model that a target must have loaded.
         chat: Whether the answer is a chat message or plain text.
-        stream: Whether the caller wants events.
-        cost: Tokens charged: prompt plus largest generated count.
-        max_tokens: Largest generated count.
-        prompt_tokens: The charged prompt.
-        blocks: Names of the prompt's blocks; see `prefixes`.
-        body: The request as it goes to a target.
+        stream: Whether the caller requested a stream of events.
+        cost: Tokens to charge: prompt plus maximum generated tokens.
+        max_tokens: Maximum number of generated tokens.
+        prompt_tokens: Number of prompt tokens to charge.
+        blocks: Hashes of the prompt's blocks; see `prefixes`.
+        body: Request body to send to a target.
     """
 
     model: str
@@ -41,7 +41,7 @@
     body: dict[str, Any]
 
 
-def _bad(what: str) -> findings.Failure:
+def _invalid_request(what: str) -> findings.Failure:
     return findings.not_run("invalid_request", what, status=400)
 
 
@@ -53,49 +53,55 @@
     team: str,
     bytes_per_token: int,
 ) -> Generation | findings.Failure:
-    """Reads a request's body.
+    """Parses the body of a completion request.
 
     Args:
-        raw: The body as it came.
-        chat: Whether it came to the chat interface.
-        rules: The rules in force.
-        team: The caller's team.
-        bytes_per_token: Prompt bytes that are charged one token.
+        raw: The received body.
+        chat: Whether the request used the chat interface.
+        rules: The current rules.
+        team: Team of the caller.
+        bytes_per_token: Number of prompt bytes that are charged as one token.
 
     Returns:
-        What to generate, or why not.
+        The completion to generate, or the reason why it is refused.
     """
     try:
         body = msgspec.json.decode(raw)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        return _bad(f"the body is not JSON: {error}")
+        return _invalid_request(f"the body is not JSON: {error}")
     if not isinstance(body, dict):
-        return _bad("the body must be a JSON object")
+        return _invalid_request("the body must be a JSON object")
     model = body.get("model")
     if not isinstance(model, str):
-        return _bad("'model' must name a model or adapter")
+        return _invalid_request("'model' must name a model or adapter")
     needs = rules.model_of(model)
     if needs is None or model not in rules.allowed.get(team, ()):
-        # Names outside the team's own are not told apart from unknown ones.
-        own = [n for n in rules.allowed.get(team, ()) if rules.model_of(n)]
-        what = findings.unknown_word("model", model, own)
+        # Models that the team may not use are reported as unknown.
+        available = [
+            n for n in rules.allowed.get(team, ()) if rules.model_of(n)
+        ]
+        what = findings.unknown_word("model", model, available)
         return findings.not_run("unknown_model", what, status=404)
-    wrong = _check(body, chat=chat)
-    if wrong:
-        return _bad(wrong)
-    max_tokens = _max_tokens(body, rules.models[needs].max_tokens)
+    problem = _find_problem(body, chat=chat)
+    if problem:
+        return _invalid_request(problem)
+    max_tokens = _parse_max_tokens(body, rules.models[needs].max_tokens)
     if max_tokens is None:
-        return _bad(f"'max_tokens' must be from 1 to {_MOST_TOKENS}")
+        return _invalid_request(
+            f"'max_tokens' must be from 1 to {_MAX_REQUESTED_TOKENS}"
+        )
     content = body["messages"] if chat else body["prompt"]
-    prompt = _prompt_bytes(content)
-    # An adapter's readings are its own: the name begins the text.
-    text = model.encode() + b"\0" + msgspec.json.encode(content)
-    prompt_tokens = -(-prompt // bytes_per_token)
+    prompt_bytes = _count_prompt_bytes(content)
+    # Cached prefixes of an adapter are not shared with other adapters, so the
+    # hashed text starts with the name.
+    hashed_text = model.encode() + b"\0" + msgspec.json.encode(content)
+    prompt_tokens = -(-prompt_bytes // bytes_per_token)
     forwarded = dict(body)
-    # The engine must stop where the charge does.
+    # The engine must not generate more tokens than are charged.
     forwarded["max_tokens"] = max_tokens
     forwarded.pop("max_completion_tokens", None)
-    # Also a whole answer is taken as a stream, so that it can be resumed.
+    # Answers that are not streamed to the caller are also requested as streams,
+    # so that they can be resumed.
     forwarded["stream"] = True
     forwarded["stream_options"] = {"include_usage": True}
     return Generation(
@@ -106,42 +112,44 @@
         prompt_tokens + max_tokens,
         max_tokens,
         prompt_tokens,
-        tuple(prefixes.block_names(text)),
+        tuple(prefixes.block_hashes(hashed_text)),
         forwarded,
     )
 
 
-def _check(body: dict[str, Any], *, chat: bool) -> str:
-    """Returns what is wrong with a body, or an empty string."""
+def _find_problem(body: dict[str, Any], *, chat: bool) -> str:
+    """Returns a description of the first invalid field, or an empty string."""
     if chat:
-        sent = body.get("messages")
-        sound = isinstance(sent, list) and sent
-        if not sound or not all(isinstance(item, dict) for item in sent):
+        chat_messages = body.get("messages")
+        is_nonempty_list = isinstance(chat_messages, list) and chat_messages
+        if not is_nonempty_list or not all(
+            isinstance(item, dict) for item in chat_messages
+        ):
             return "'messages' must be a list of at least one message object"
     elif not isinstance(body.get("prompt"), str):
         return "'prompt' must be a string"
     if body.get("n", 1) != 1:
-        return f"'n' is {body['n']!r}; only one choice is served a request"
+        return f"'n' is {body['n']!r}; only one choice per request is supported"
     if body.get("stream") not in (None, True, False):
         return f"'stream' is {body['stream']!r}; expected true or false"
     return ""
 
 
-def _max_tokens(body: dict[str, Any], default: int) -> int | None:
+def _parse_max_tokens(body: dict[str, Any], default: int) -> int | None:
     value = body.get("max_completion_tokens", body.get("max_tokens"))
     if value is None:
         return default
-    if type(value) is not int or not 0 < value <= _MOST_TOKENS:
+    if type(value) is not int or not 0 < value <= _MAX_REQUESTED_TOKENS:
         return None
     return value
 
 
-def _prompt_bytes(value: Any) -> int:
-    """Counts the text in a prompt, however it is nested."""
+def _count_prompt_bytes(value: Any) -> int:
+    """Returns the number of bytes in all strings of a nested prompt."""
     if isinstance(value, str):
         return len(value.encode())
     if isinstance(value, dict):
-        return sum(_prompt_bytes(item) for item in value.values())
+        return sum(_count_prompt_bytes(item) for item in value.values())
     if isinstance(value, list):
-        return sum(_prompt_bytes(item) for item in value)
+        return sum(_count_prompt_bytes(item) for item in value)
     return 0
--- a/packages/endivestream/src/endivestream/request/outliers.py
+++ b/packages/endivestream/src/endivestream/request/outliers.py
@@ -1,98 +1,104 @@
-"""Targets that fail what they are given: ejected for a while, then probed.
+"""Outlier detection: failing targets are ejected temporarily, then probed.
 
-A target can report itself well and still break every request: its reports come
-from another thread, or from before the fault. Callers then pay an attempt each
-(symptom: first tokens late by one retry, on a share of requests). Pure.
+A target can send healthy reports and still fail every request: its reports
+come from another thread, or from before the fault. Every caller then loses an
+attempt (symptom: first tokens late by one retry, for a share of requests).
+Does no I/O.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-# Failures in a row that eject; one alone may be the request's own fault.
-_IN_A_ROW = 3
-_FIRST_SECONDS = 1.0
-_MOST_SECONDS = 30.0
-_PROBE_SECONDS = 5.0
-# Never more than this share: if most targets fail, the fault is elsewhere, and
-# the few that are left would drown.
-_MOST_SHARE = 1 / 3
+# Consecutive failures that eject a target; a single failure may be caused by
+# the request.
+_EJECTION_FAILURES = 3
+_FIRST_EJECTION_SECONDS = 1.0
+_MAX_EJECTION_SECONDS = 30.0
+_PROBE_INTERVAL_SECONDS = 5.0
+# Maximum share of ejected targets. If most targets fail, the fault is
+# elsewhere, and the few remaining targets would be overloaded.
+_MAX_EJECTED_SHARE = 1 / 3
 
 
-class _Record(NamedTuple):
-    """A target's recent fate.
+class _FailureRecord(NamedTuple):
+    """Recent failures of a target.
 
     Attributes:
-        failures: In a row, since the last success.
-        ejections: In a row, since the last success.
-        until: When it may get one request, to find out.
+        failures: Number of failures since the last success.
+        ejections: Number of ejections since the last success.
+        probe_at: Time from which the target may get one request as a probe.
     """
 
     failures: int = 0
     ejections: int = 0
-    until: float = 0.0
+    probe_at: float = 0.0
 
 
 class Outliers:
-    """Which targets of a pool are ejected. Times are seconds."""
+    """Failure records of the targets in a pool. Times are in seconds."""
 
     def __init__(self) -> None:
-        self._records: dict[str, _Record] = {}
+        self._records: dict[str, _FailureRecord] = {}
 
     def __repr__(self) -> str:
         return f"<Outliers among {len(self._records)} failing targets>"
 
     def ended(self, target: str, *, failed: bool, now: float, of: int) -> bool:
-        """Notes how an attempt ended.
+        """Records the result of an attempt.
 
         Args:
-            target: Where it ran.
-            failed: Whether the target broke it.
-            now: The time.
-            of: Targets in the pool.
+            target: Target that the attempt ran on.
+            failed: Whether the attempt failed because of the target.
+            now: Current time.
+            of: Number of targets in the pool.
 
         Returns:
-            Whether the target was ejected by this.
+            Whether this failure ejected the target.
         """
         if not failed:
             self._records.pop(target, None)
             return False
-        record = self._records.get(target, _Record())
+        record = self._records.get(target, _FailureRecord())
         failures = record.failures + 1
-        if failures < _IN_A_ROW and not record.ejections:
+        if failures < _EJECTION_FAILURES and not record.ejections:
             self._records[target] = record._replace(failures=failures)
             return False
-        if record.until <= now and not self._room(now, of):
+        if record.probe_at <= now and not self._may_eject(now, of):
             self._records[target] = record._replace(failures=failures)
             return False
-        seconds = min(_MOST_SECONDS, _FIRST_SECONDS * 2**record.ejections)
-        self._records[target] = _Record(
-            failures, record.ejections + 1, now + seconds
+        ejection_seconds = min(
+            _MAX_EJECTION_SECONDS, _FIRST_EJECTION_SECONDS * 2**record.ejections
+        )
+        self._records[target] = _FailureRecord(
+            failures, record.ejections + 1, now + ejection_seconds
         )
         return True
 
-    def _room(self, now: float, of: int) -> bool:
-        out = sum(record.until > now for record in self._records.values())
-        return out + 1 <= of * _MOST_SHARE
+    def _may_eject(self, now: float, of: int) -> bool:
+        ejected = sum(
+            record.probe_at > now for record in self._records.values()
+        )
+        return ejected + 1 <= of * _MAX_EJECTED_SHARE
 
     def may_get(self, target: str, now: float) -> bool:
-        """Tells whether a target may get a request."""
+        """Returns whether a target may get a request."""
         record = self._records.get(target)
         if record is None or not record.ejections:
             return True
-        return record.until <= now
+        return record.probe_at <= now
 
     def granted(self, target: str, now: float) -> None:
-        """Notes a grant: an ejected target gets one request to prove itself.
+        """Records a grant; an ejected target gets a single probe request.
 
-        The next after a while, should this one end without a verdict, as when
-        its caller leaves.
+        If the probe ends without a result, for example because its caller
+        disconnects, the next probe is allowed after `_PROBE_INTERVAL_SECONDS`.
         """
         record = self._records.get(target)
         if record is not None and record.ejections:
-            until = now + _PROBE_SECONDS
-            self._records[target] = record._replace(until=until)
+            probe_at = now + _PROBE_INTERVAL_SECONDS
+            self._records[target] = record._replace(probe_at=probe_at)
 
     def forget(self, target: str) -> None:
-        """Drops what is known; the target started anew."""
+        """Drops the failure record of a target that has restarted."""
         self._records.pop(target, None)
--- a/packages/endivestream/src/endivestream/request/prefixes.py
+++ b/packages/endivestream/src/endivestream/request/prefixes.py
@@ -1,9 +1,9 @@
-"""Which target has read which beginning of a prompt already. Pure.
+"""Prompt prefixes that targets probably have in their caches. Does no I/O.
 
-Engines cache what they have read in limited memory. The hints here come from
-our own routing: a target that was given a prompt has read its blocks. They age
-as the engine's cache does, by least recent use, and are only hints: a wrong
-one costs reading the prompt again, nothing else.
+Engines cache processed prompts in limited memory. The hints are derived from
+routing decisions: a target that was sent a prompt has processed its blocks.
+Like entries of the engine's cache, hints are evicted least recently used
+first. A wrong hint only costs processing the prompt again.
 """
 
 from __future__ import annotations
@@ -12,59 +12,64 @@
 from collections.abc import Sequence
 import hashlib
 
-# Text is cut into blocks; the name of a block covers all before it, so equal
-# names mean equal beginnings.
+# Size of a block. The hash of a block covers all text before it, so equal
+# hashes mean equal prefixes.
 BLOCK_BYTES = 256
-# Blocks named for one request; a longer prompt's rest is not looked at.
+# Maximum number of blocks hashed per request; the rest of a longer prompt is
+# ignored.
 MOST_BLOCKS = 32
-# Blocks remembered for one target, about 100 bytes each.
-_KEPT_BLOCKS = 4096
+# Maximum number of hints per target; each takes about 100 bytes.
+_MAX_BLOCKS_PER_TARGET = 4096
 
 
-def block_names(text: bytes) -> list[int]:
-    """Returns the names of a prompt's whole blocks, the first first."""
+def block_hashes(text: bytes) -> list[int]:
+    """Returns the hashes of a prompt's complete blocks, in order."""
     digest = hashlib.blake2b(digest_size=8)
-    names = []
-    last = min(len(text), MOST_BLOCKS * BLOCK_BYTES) - BLOCK_BYTES
-    for start in range(0, last + 1, BLOCK_BYTES):
+    hashes = []
+    last_start = min(len(text), MOST_BLOCKS * BLOCK_BYTES) - BLOCK_BYTES
+    for start in range(0, last_start + 1, BLOCK_BYTES):
         digest.update(text[start : start + BLOCK_BYTES])
-        names.append(int.from_bytes(digest.digest()))
-    return names
+        hashes.append(int.from_bytes(digest.digest()))
+    return hashes
 
 
 class Prefixes:
     """Hints for the targets of one pool."""
 
     def __init__(self) -> None:
-        self._read: dict[str, collections.OrderedDict[int, None]] = {}
+        self._cached_blocks: dict[str, collections.OrderedDict[int, None]] = {}
 
     def __repr__(self) -> str:
-        blocks = sum(map(len, self._read.values()))
-        return f"<Prefixes: {blocks} blocks on {len(self._read)} targets>"
+        blocks = sum(map(len, self._cached_blocks.values()))
+        return (
+            f"<Prefixes: {blocks} blocks on {len(self._cached_blocks)} targets>"
+        )
 
     def covered(self, target: str, blocks: Sequence[int]) -> int:
-        """Returns how many leading blocks a target has probably read."""
-        read = self._read.get(target)
-        if read is None:
+        """Returns how many leading blocks a target has probably cached."""
+        cached = self._cached_blocks.get(target)
+        if cached is None:
             return 0
         count = 0
         for block in blocks:
-            if block not in read:
+            if block not in cached:
                 break
             count += 1
         return count
 
     def note(self, target: str, blocks: Sequence[int]) -> None:
-        """Notes that a target reads a prompt."""
+        """Records that a target processes a prompt."""
         if not blocks:
             return
-        read = self._read.setdefault(target, collections.OrderedDict())
+        cached = self._cached_blocks.setdefault(
+            target, collections.OrderedDict()
+        )
         for block in blocks:
-            read[block] = None
-            read.move_to_end(block)
-        while len(read) > _KEPT_BLOCKS:
-            read.popitem(last=False)
+            cached[block] = None
+            cached.move_to_end(block)
+        while len(cached) > _MAX_BLOCKS_PER_TARGET:
+            cached.popitem(last=False)
 
     def forget(self, target: str) -> None:
-        """Drops a target's hints; it started anew with an empty cache."""
-        self._read.pop(target, None)
+        """Drops the hints for a target that restarted with an empty cache."""
+        self._cached_blocks.pop(target, None)
--- a/tests/test_outliers.py
+++ b/tests/test_outliers.py
@@ -16,8 +16,8 @@
             ejected = self.outliers.ended(target, failed=True, now=now, of=of)
         return ejected
 
-    def test_three_failures_in_a_row_eject_and_one_probe_follows(self):
-        """Callers stop paying a retry for a target that breaks everything."""
+    def test_three_consecutive_failures_eject_until_a_probe_succeeds(self):
+        """Guards against a retry per caller for a target that always fails."""
         self.assertFalse(self._fail("t", 2))
         self.assertTrue(self.outliers.may_get("t", 0.0))
         self.assertTrue(self._fail("t", 1))
@@ -30,23 +30,25 @@
         self.outliers.ended("t", failed=False, now=3.3, of=6)
         self.assertTrue(self.outliers.may_get("t", 3.3))
 
-    def test_success_between_failures_ejects_nobody(self):
+    def test_success_resets_the_failure_count(self):
         for _ in range(5):
             self._fail("t", 2)
             self.outliers.ended("t", failed=False, now=0.0, of=6)
         self.assertTrue(self.outliers.may_get("t", 0.0))
 
-    def test_no_more_than_a_third_is_ejected(self):
-        """A fault that all targets share must not leave one for all work."""
+    def test_at_most_a_third_of_the_targets_is_ejected(self):
+        """Guards against few remaining targets if all targets fail."""
         for name in "abcdef":
             self._fail(name)
-        out = [n for n in "abcdef" if not self.outliers.may_get(n, 0.0)]
-        self.assertEqual(out, ["a", "b"])
+        ejected_targets = [
+            n for n in "abcdef" if not self.outliers.may_get(n, 0.0)
+        ]
+        self.assertEqual(ejected_targets, ["a", "b"])
 
 
 class PrefixesTest(unittest.TestCase):
     @hypothesis.given(st.binary(max_size=2000), st.binary(max_size=2000))
-    def test_equal_names_mean_equal_beginnings(self, one, other):
+    def test_equal_hashes_mean_equal_prefixes(self, one, other):
         size = prefixes_lib.BLOCK_BYTES
         shared = 0
         for start in range(0, min(len(one), len(other)) - size + 1, size):
@@ -54,14 +56,17 @@
                 break
             shared += 1
         prefixes = prefixes_lib.Prefixes()
-        prefixes.note("t", prefixes_lib.block_names(one))
-        covered = prefixes.covered("t", prefixes_lib.block_names(other))
+        prefixes.note("t", prefixes_lib.block_hashes(one))
+        covered = prefixes.covered("t", prefixes_lib.block_hashes(other))
         self.assertEqual(covered, shared)
 
-    def test_hints_are_bounded(self):
+    def test_hints_per_target_are_bounded(self):
         prefixes = prefixes_lib.Prefixes()
         prefixes.note("t", range(10_000))
-        self.assertEqual(len(prefixes._read["t"]), prefixes_lib._KEPT_BLOCKS)
+        self.assertEqual(
+            len(prefixes._cached_blocks["t"]),
+            prefixes_lib._MAX_BLOCKS_PER_TARGET,
+        )
 
 
 class RoutingTest(unittest.TestCase):
@@ -81,26 +86,26 @@
         )
         return self.scheduler.ask(ask, now=0.0)
 
-    def test_same_beginning_goes_where_it_was_read(self):
+    def test_request_goes_to_the_target_that_cached_its_prefix(self):
         first = self._ask((1, 2, 3, 4))
         self.scheduler.release(first.request)
         self._ask((9,))
-        again = self._ask((1, 2, 3, 5))
-        self.assertEqual(again.target, first.target)
-        self.assertEqual(again.reason, "prefix_hit")
+        second = self._ask((1, 2, 3, 5))
+        self.assertEqual(second.target, first.target)
+        self.assertEqual(second.reason, "prefix_hit")
 
     def test_affinity_never_overloads_a_target(self):
-        """One popular beginning does not queue on one target."""
-        held = [self._ask((1, 2, 3, 4)).target for _ in range(12)]
-        self.assertLessEqual(max(map(held.count, held)), 6)
+        """Guards against queueing on one target for a popular prefix."""
+        targets = [self._ask((1, 2, 3, 4)).target for _ in range(12)]
+        self.assertLessEqual(max(map(targets.count, targets)), 6)
 
-    def test_restarted_target_has_read_nothing(self):
+    def test_restarted_target_has_an_empty_cache(self):
         first = self._ask((1, 2, 3, 4))
         self.scheduler.release(first.request)
         self.scheduler.forget(first.target)
         self.assertEqual(self._ask((1, 2, 3, 4)).reason, "least_loaded")
 
-    def test_target_that_breaks_everything_gets_no_more(self):
+    def test_target_that_fails_all_requests_gets_no_more(self):
         for _ in range(3):
             grant = self._ask()
             self.assertEqual(grant.target, "t1")
