--- a/packages/endivestream/src/endivestream/request/attempts.py
+++ b/packages/endivestream/src/endivestream/request/attempts.py
@@ -1,7 +1,7 @@
-"""The attempts of one request: places on targets, one after another.
+"""Attempts of one request: consecutive tickets for places on targets.
 
-What a generation and a service call have in common: how many targets are
-tried, how soon, with which budget, and that every place is given back.
+Shared by generations and service calls: the number of attempts, the backoff
+and retry budget, and the return of every ticket.
 """
 
 from __future__ import annotations
@@ -19,15 +19,16 @@
 
 
 class Work(NamedTuple):
-    """What a place is asked for.
+    """The work for which a ticket is requested.
 
     Attributes:
-        request: The request's id.
-        team: The caller's team.
-        needs: A model's name or `service:NAME`.
+        request: Id of the request.
+        team: Team of the caller.
+        needs: Name of a model, or `service:NAME`.
         tokens: Expected work, in tokens.
-        blocks: Names of the prompt's blocks; see `prefixes`.
-        deadline: Latest time of use, by the steady clock.
+        blocks: Hashes of the prompt's blocks; see `prefixes`.
+        deadline: Latest time at which a ticket is useful, by the monotonic
+            clock.
     """
 
     request: str
@@ -39,10 +40,10 @@
 
 
 class Attempts:
-    """Asks for a place, gives it back, and decides about the next.
+    """Requests and returns tickets, and decides on further attempts.
 
     Attributes:
-        why: Why the last attempt broke off; empty before the first.
+        why: Cause of the last attempt's failure; empty before the first.
     """
 
     def __init__(
@@ -58,23 +59,26 @@
         self._budget = budget
         self._rng = rng
         self._work = work
-        self._number = 0
-        self._avoid: list[str] = []
+        self._attempt_number = 0
+        self._failed_targets: list[str] = []
         self._target = ""
         budget.request()
 
     @property
     def name(self) -> str:
-        """The present attempt's id."""
-        return f"{self._work.request}.{self._number}"
+        """Id of the current attempt."""
+        return f"{self._work.request}.{self._attempt_number}"
 
     async def place(self, *, begun: bool) -> messages.Ticket | findings.Failure:
-        """Returns a place for the next attempt, or why there is none.
+        """Requests a ticket for the next attempt.
 
         Args:
-            begun: Whether any byte of the request may have left already.
+            begun: Whether any byte of the request may have been sent already.
+
+        Returns:
+            The ticket, or the reason why there is none.
         """
-        self._number += 1
+        self._attempt_number += 1
         patience = self._work.deadline - time.monotonic()
         try:
             answer = await self._gateway.ticket(
@@ -84,13 +88,14 @@
                     needs=self._work.needs,
                     tokens=self._work.tokens,
                     patience=max(0.05, patience),
-                    avoid=self._avoid,
+                    avoid=self._failed_targets,
                     host=self._gateway.settings.host.name,
                     blocks=self._work.blocks,
                 )
             )
         except asyncio.CancelledError:
-            # The place may be granted after this; it must come back.
+            # The ticket may be granted after the cancellation and must be
+            # returned.
             self.give_back(used=0)
             raise
         if isinstance(answer, messages.Refused):
@@ -100,8 +105,8 @@
                 status=503,
                 retry_after=answer.retry_after,
             )
-        # A host that was frozen or waited long must not begin work on what
-        # was in force then. Work that has begun may end.
+        # A host that was frozen or waited long must not start work under a
+        # configuration that may be outdated. Started work may finish.
         failure = None if begun else self._gateway.lost_lease()
         if failure is not None:
             self.give_back(used=0)
@@ -112,7 +117,7 @@
     def give_back(
         self, *, used: int, failed: bool = False, answered: bool = False
     ) -> None:
-        """Gives the present attempt's place back."""
+        """Returns the ticket of the current attempt."""
         self._gateway.end(
             messages.Ending(
                 request=self.name,
@@ -123,20 +128,22 @@
             )
         )
 
-    async def may_go_on(self, why: str, *, sent: bool) -> bool:
-        """Tells whether another target may be tried, after a pause if so."""
+    async def may_retry(self, why: str, *, sent: bool) -> bool:
+        """Returns whether to try another target, after the backoff if so."""
         self.why = why
         logs.warn(
-            "attempt_broken",
+            "attempt_failed",
             request=self._work.request,
-            attempt=self._number,
+            attempt=self._attempt_number,
             target=self._target,
             sent=sent,
             why=why,
         )
-        self._avoid.append(self._target)
-        most = self._gateway.settings.requests.attempts
-        if self._number >= most or not self._budget.retry():
+        self._failed_targets.append(self._target)
+        max_attempts = self._gateway.settings.requests.attempts
+        if self._attempt_number >= max_attempts or not self._budget.retry():
             return False
-        await asyncio.sleep(retries.backoff(self._number, rng=self._rng))
+        await asyncio.sleep(
+            retries.backoff(self._attempt_number, rng=self._rng)
+        )
         return True
--- a/packages/endivestream/src/endivestream/request/relay.py
+++ b/packages/endivestream/src/endivestream/request/relay.py
@@ -1,9 +1,9 @@
 """Relays one generation from targets to the caller, each token once.
 
-A target may die, fall silent or answer late and crossed. The stream is then
-taken up on another copy at the next token, where the target can do that; the
-caller sees no seam. Where it cannot, the caller gets a typed end. A stream
-that ends without its final marker is never shown as whole.
+A target may fail, stop sending, or send events of another attempt. The stream
+is then resumed at the next token on another target, invisibly to the caller.
+If no target can resume it, the caller gets a typed error. A stream that ends
+without its final marker is never reported as complete.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
 from endivestream.request import generation as generation_lib
 from endivestream.request import sse
 
-# A target answers these before it has taken the request up.
-_TURNED_AWAY = (429, 503)
+# Statuses that a target sends before it starts to run a request.
+_NOT_STARTED_STATUSES = (429, 503)
 
 
 class _Delta(msgspec.Struct):
@@ -47,13 +47,13 @@
 
 
 class Finished(NamedTuple):
-    """A generation that came whole.
+    """A complete generation.
 
     Attributes:
-        text: All generated text.
-        tokens: How many tokens were generated.
-        finish_reason: As the engine said.
-        target: The target that finished it.
+        text: The complete generated text.
+        tokens: Number of generated tokens.
+        finish_reason: Finish reason reported by the engine.
+        target: Name of the target that finished the generation.
     """
 
     text: str
@@ -63,23 +63,23 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class _Broken:
-    """An attempt broke off; another target may go on."""
+class _AttemptFailed:
+    """The attempt failed; another target may continue."""
 
-    why: str
+    cause: str
     sent: bool
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class _Rejected:
-    """The target understood the request and will not run it."""
+    """The target rejected the request; no other target is tried."""
 
     status: int
     detail: str
 
 
 class Relay:
-    """One generation with all its attempts."""
+    """Runs one generation with all its attempts."""
 
     def __init__(
         self,
@@ -100,8 +100,8 @@
         self._team = team
         self._generation = generation
         self._emit = emit
-        self._begun = time.monotonic()
-        self._last = self._begun
+        self._started_at = time.monotonic()
+        self._last_event_at = self._started_at
         self._tokens = 0
         self._text: list[str] = []
         self._finish_reason = ""
@@ -109,21 +109,21 @@
 
     @property
     def sent(self) -> bool:
-        """Whether any byte may have reached a target."""
+        """Whether any byte of the request may have reached a target."""
         return self._sent
 
     @property
     def tokens(self) -> int:
-        """Tokens relayed so far."""
+        """Number of tokens relayed so far."""
         return self._tokens
 
     async def run(self) -> Finished | findings.Failure:
-        """Generates, on as many targets as it takes and the budget allows."""
+        """Runs attempts until one finishes or no retry is allowed."""
         while True:
-            place = await self._attempts.place(begun=self._sent)
-            if isinstance(place, findings.Failure):
-                return self._without_place(place)
-            result = await self._run_on(place)
+            ticket = await self._attempts.place(begun=self._sent)
+            if isinstance(ticket, findings.Failure):
+                return self._failure_without_ticket(ticket)
+            result = await self._run_on(ticket)
             match result:
                 case Finished():
                     return result
@@ -134,41 +134,43 @@
                         detail=detail,
                         status=status,
                     )
-                case _Broken(why=why, sent=sent):
-                    if not await self._attempts.may_go_on(why, sent=sent):
+                case _AttemptFailed(cause=cause, sent=sent):
+                    if not await self._attempts.may_retry(cause, sent=sent):
                         return self._failure(
-                            "target_failed", f"the target broke: {why}"
+                            "target_failed", f"the target failed: {cause}"
                         )
                     if self._tokens:
                         self._gateway.metrics.resumed.inc()
 
     async def _run_on(
-        self, place: messages.Ticket
-    ) -> Finished | _Broken | _Rejected:
-        """Runs one attempt, and gives its place back whatever happens."""
-        before = self._tokens
-        result: Finished | _Broken | _Rejected | None = None
+        self, ticket: messages.Ticket
+    ) -> Finished | _AttemptFailed | _Rejected:
+        """Runs one attempt and returns its ticket in every case."""
+        tokens_before = self._tokens
+        result: Finished | _AttemptFailed | _Rejected | None = None
         try:
-            result = await self._attempt(self._attempts.name, place)
+            result = await self._run_attempt(self._attempts.name, ticket)
             return result
         finally:
             self._attempts.give_back(
-                used=self._tokens - before,
-                failed=isinstance(result, _Broken),
+                used=self._tokens - tokens_before,
+                failed=isinstance(result, _AttemptFailed),
                 answered=isinstance(result, Finished | _Rejected),
             )
 
-    def _without_place(self, failure: findings.Failure) -> findings.Failure:
+    def _failure_without_ticket(
+        self, failure: findings.Failure
+    ) -> findings.Failure:
         if not self._attempts.why:
             return failure
         return self._failure(
             "target_failed",
-            f"the target broke ({self._attempts.why}) and there is no other: "
-            f"{failure.detail}",
+            f"the target failed ({self._attempts.why}) and no other is "
+            f"available: {failure.detail}",
         )
 
     def _failure(self, reason: str, detail: str) -> findings.Failure:
-        """Returns a failure that is truthful about what may have run."""
+        """Returns a failure that states whether the request may have run."""
         outcome = (
             findings.Outcome.FAILED if self._sent else findings.Outcome.NOT_RUN
         )
@@ -180,24 +182,27 @@
             retry_after=1.0,
         )
 
-    async def _attempt(
+    async def _run_attempt(
         self, name: str, ticket: messages.Ticket
-    ) -> Finished | _Broken | _Rejected:
+    ) -> Finished | _AttemptFailed | _Rejected:
         if self._tokens and not ticket.resumes:
-            return _Broken(
-                why=f"{ticket.target} cannot continue a stream", sent=False
+            return _AttemptFailed(
+                cause=f"target {ticket.target} cannot resume a stream",
+                sent=False,
             )
         exchange = exchange_lib.Exchange(pool=self._pool, url=ticket.url)
         try:
             await self._send(exchange, name)
-            return await self._read(exchange, name, ticket)
+            return await self._read_answer(exchange, name, ticket)
         except exchange_lib.ExchangeError as error:
-            return _Broken(why=str(error), sent=error.sent)
+            return _AttemptFailed(cause=str(error), sent=error.sent)
         except (sse.TooLongError, msgspec.DecodeError) as error:
-            return _Broken(why=f"unreadable stream: {error}", sent=True)
+            return _AttemptFailed(
+                cause=f"invalid event stream: {error}", sent=True
+            )
         finally:
-            # Closing an unfinished exchange is how the engine learns that
-            # the caller left.
+            # Closing an unfinished exchange stops the engine if the caller
+            # has disconnected.
             self._sent = self._sent or exchange.sent
             exchange.close()
 
@@ -225,85 +230,96 @@
             connect_seconds=self._requests.connect_seconds,
         )
 
-    async def _read(
+    async def _read_answer(
         self,
         exchange: exchange_lib.Exchange,
         name: str,
         ticket: messages.Ticket,
-    ) -> Finished | _Broken | _Rejected:
+    ) -> Finished | _AttemptFailed | _Rejected:
         head = await exchange.head(seconds=self._requests.first_byte_seconds)
         if head.status != 200:
             return await self._read_error(exchange, head.status)
         splitter = sse.Splitter()
-        whole = None
+        finished = None
         async for chunk in exchange.chunks(
             silence=self._requests.stream_silence_seconds
         ):
             for event in splitter.feed(chunk):
                 if event.data == sse.DONE:
-                    whole = self._finished(ticket.target)
-                elif whole is None:
-                    broken = await self._event(event, name.encode())
-                    if broken:
-                        return broken
-        return whole or _Broken(why="ended without its final marker", sent=True)
-
-    def _finished(self, target: str) -> Finished:
+                    finished = self._build_finished(ticket.target)
+                elif finished is None:
+                    failed_attempt = await self._relay_event(
+                        event, name.encode()
+                    )
+                    if failed_attempt:
+                        return failed_attempt
+        return finished or _AttemptFailed(
+            cause="the stream ended without its final marker", sent=True
+        )
+
+    def _build_finished(self, target: str) -> Finished:
         text = "".join(self._text)
         return Finished(text, self._tokens, self._finish_reason, target)
 
     async def _read_error(
         self, exchange: exchange_lib.Exchange, status: int
-    ) -> _Broken | _Rejected:
+    ) -> _AttemptFailed | _Rejected:
         body = b""
         async for chunk in exchange.chunks(
             silence=self._requests.stream_silence_seconds
         ):
             body = (body + chunk)[:4096]
-        if status in _TURNED_AWAY or status >= 500:
-            return _Broken(why=f"status {status}", sent=True)
+        if status in _NOT_STARTED_STATUSES or status >= 500:
+            return _AttemptFailed(cause=f"status {status}", sent=True)
         return _Rejected(status=status, detail=_error_text(body))
 
-    async def _event(self, event: sse.Event, name: bytes) -> _Broken | None:
-        """Relays one event if it is the next of this attempt.
+    async def _relay_event(
+        self, event: sse.Event, name: bytes
+    ) -> _AttemptFailed | None:
+        """Relays an event if it is the next one of this attempt.
 
-        Its id is `ATTEMPT/FIRST/LAST`, the tokens it carries, counted from 1
-        over all attempts; LAST is FIRST - 1 for an event without a token.
+        The event id is `ATTEMPT/FIRST/LAST`. FIRST and LAST are the numbers of
+        the event's tokens, counted from 1 over all attempts; LAST is FIRST - 1
+        for an event without a token.
         """
         try:
             attempt, first_text, last_text = event.id.rsplit(b"/", 2)
             first, last = int(first_text), int(last_text)
         except ValueError:
-            return _Broken(why=f"event id {event.id!r}", sent=True)
+            return _AttemptFailed(
+                cause=f"invalid event id {event.id!r}", sent=True
+            )
         if attempt != name:
-            # A late answer to another attempt or caller: relaying it would
-            # show one caller another's words.
-            return _Broken(why=f"answer of {attempt!r}", sent=True)
+            # An event of another attempt or caller. Relaying it would disclose
+            # another caller's answer.
+            return _AttemptFailed(
+                cause=f"event of attempt {attempt!r}", sent=True
+            )
         if first <= last <= self._tokens:
-            return None  # Sent before, by the target that broke off.
+            return None  # Already relayed by an earlier attempt.
         if first != self._tokens + 1:
-            why = f"token {first} after {self._tokens}"
-            return _Broken(why=why, sent=True)
+            cause = f"token {first} received after token {self._tokens}"
+            return _AttemptFailed(cause=cause, sent=True)
         chunk = _chunk_decoder.decode(event.data)
         for choice in chunk.choices:
-            piece = choice.delta.content if choice.delta else choice.text
-            if piece:
-                self._text.append(piece)
+            text_part = choice.delta.content if choice.delta else choice.text
+            if text_part:
+                self._text.append(text_part)
             if choice.finish_reason:
                 self._finish_reason = choice.finish_reason
-        self._count(last - self._tokens)
+        self._record_event(last - self._tokens)
         self._tokens = last
         await self._emit(event.data)
         return None
 
-    def _count(self, tokens: int) -> None:
+    def _record_event(self, tokens: int) -> None:
         now = time.monotonic()
         metrics = self._gateway.metrics
         if self._tokens == 0:
-            metrics.first_token.observe(now - self._begun)
+            metrics.first_token.observe(now - self._started_at)
         else:
-            metrics.between_tokens.observe(now - self._last)
-        self._last = now
+            metrics.between_tokens.observe(now - self._last_event_at)
+        self._last_event_at = now
         if tokens:
             metrics.tokens.inc(tokens)
 
--- a/packages/endivestream/src/endivestream/request/service_calls.py
+++ b/packages/endivestream/src/endivestream/request/service_calls.py
@@ -1,8 +1,9 @@
-"""Calls to plain services; a non-idempotent one runs at most once.
+"""Calls to plain services; a non-idempotent call runs at most once.
 
-The right to send a non-idempotent call is a record in the replicated log. The
-one attempt that got it sends once. Whatever happens then, nobody sends again:
-a resend gets the stored answer, or is told that the fate is unknown.
+A record in the replicated log permits a single attempt to send a
+non-idempotent call, and this attempt sends it once. The call is never sent
+again, whatever the result: a resend by the caller gets the stored answer, or
+an error that the outcome is unknown.
 """
 
 from __future__ import annotations
@@ -22,21 +23,22 @@
 from endivestream.version import calls as calls_lib
 from endivestream.version import rules as rules_lib
 
-# Methods that HTTP defines as safe: they order nothing and need no key.
+# Methods that HTTP defines as safe: they change nothing and need no
+# Idempotency-Key.
 _SAFE_METHODS = ("GET", "HEAD", "OPTIONS")
-_LONGEST_ANSWER_BYTES = 8 * 1024 * 1024
-_LONGEST_KEY = 200
+_MAX_ANSWER_BYTES = 8 * 1024 * 1024
+_MAX_KEY_CHARACTERS = 200
 
 
 class Call(NamedTuple):
-    """One call as it goes to a service.
+    """A call to be sent to a service.
 
     Attributes:
         method: HTTP method.
         path: Path and query at the service.
-        headers: Headers to pass on.
-        body: The body.
-        key: The Idempotency-Key, or empty.
+        headers: Headers to forward.
+        body: The request body.
+        key: Value of the Idempotency-Key header, or empty.
     """
 
     method: str
@@ -47,14 +49,14 @@
 
 
 class Answer(NamedTuple):
-    """A service's whole answer.
+    """A complete answer of a service.
 
     Attributes:
         status: HTTP status.
-        content_type: Of the body.
-        body: The body.
-        replayed: Whether it is the stored answer of an earlier send.
-        truncated: Whether a stored answer lacks its end.
+        content_type: Content type of the body.
+        body: The answer's body.
+        replayed: Whether this is the stored answer of an earlier send.
+        truncated: Whether the stored body was cut at the size limit.
     """
 
     status: int
@@ -65,7 +67,7 @@
 
 
 class ServiceCall:
-    """One call with all its attempts."""
+    """Runs one call with all its attempts."""
 
     def __init__(
         self,
@@ -87,17 +89,17 @@
         self._service = service
         self._call = call
         self._sent = False
-        self._holder = f"{gateway.holder}/{request}"
+        self._holder_id = f"{gateway.holder}/{request}"
 
     @property
     def sent(self) -> bool:
-        """Whether any byte may have reached a target."""
+        """Whether any byte of the call may have reached a target."""
         return self._sent
 
     async def run(self) -> Answer | findings.Failure:
-        """Runs the call, at most once if it is not idempotent."""
-        safe = self._call.method in _SAFE_METHODS
-        if self._service.idempotent or safe:
+        """Runs the call; at most once if it is not idempotent."""
+        is_safe = self._call.method in _SAFE_METHODS
+        if self._service.idempotent or is_safe:
             return await self._send(repeatable=True)
         if not self._call.key:
             return findings.not_run(
@@ -106,44 +108,46 @@
                 "Idempotency-Key header, the same one when you resend",
                 status=400,
             )
-        if len(self._call.key) > _LONGEST_KEY or "\0" in self._call.key:
+        if len(self._call.key) > _MAX_KEY_CHARACTERS or "\0" in self._call.key:
             return findings.not_run(
                 "invalid_request",
-                f"the Idempotency-Key is longer than {_LONGEST_KEY} characters",
+                "the Idempotency-Key is longer than "
+                f"{_MAX_KEY_CHARACTERS} characters",
                 status=400,
             )
         return await self._run_once()
 
     async def _run_once(self) -> Answer | findings.Failure:
         try:
-            begun = await self._gateway.propose(
+            begin_result = await self._gateway.propose(
                 calls_lib.BeginCall(
                     team=self._team,
                     service=self._service.name,
                     key=self._call.key,
                     fingerprint=self._fingerprint(),
-                    holder=self._holder,
+                    holder=self._holder_id,
                     at=time.time(),
                 )
             )
         except (links.LinkDownError, asyncio.CancelledError) as error:
-            # The record may stand, but only this attempt could have sent, and
-            # it never will: "not run" is true, and the key is freed.
-            self._gateway.propose_surely(self._ended("not_run"))
+            # The record may have been committed, but it permits only this
+            # attempt to send, which it never will. "not run" is therefore
+            # true, and the key is released.
+            self._gateway.propose_surely(self._end_command("not_run"))
             if isinstance(error, asyncio.CancelledError):
                 raise
             return findings.not_run(
                 "control_unreachable", str(error), status=503, retry_after=1.0
             )
-        match begun:
+        match begin_result:
             case calls_lib.Known(record=record, same=same):
-                return _known(record, same)
+                return _answer_from_record(record, same)
             case calls_lib.Forgotten(reason=reason):
-                return _forgotten(reason)
+                return _forgotten_key_failure(reason)
             case calls_lib.Begun():
-                return await self._send_and_end()
+                return await self._send_and_commit()
             case _:
-                raise AssertionError(f"unexpected result {begun!r}")
+                raise AssertionError(f"unexpected result {begin_result!r}")
 
     def _fingerprint(self) -> str:
         digest = hashlib.sha256()
@@ -152,30 +156,30 @@
         digest.update(self._call.body)
         return digest.hexdigest()[:32]
 
-    async def _send_and_end(self) -> Answer | findings.Failure:
+    async def _send_and_commit(self) -> Answer | findings.Failure:
         try:
             result = await self._send(repeatable=False)
         except asyncio.CancelledError:
-            fate = "unknown" if self._sent else "not_run"
-            self._gateway.propose_surely(self._ended(fate))
+            final_outcome = "unknown" if self._sent else "not_run"
+            self._gateway.propose_surely(self._end_command(final_outcome))
             raise
         if isinstance(result, Answer):
-            ended = self._ended("done", result)
+            end_command = self._end_command("done", result)
         elif result.outcome == findings.Outcome.NOT_RUN:
-            ended = self._ended("not_run")
+            end_command = self._end_command("not_run")
         else:
-            ended = self._ended("unknown")
+            end_command = self._end_command("unknown")
         try:
-            # The commit comes first, so that a resend that follows the answer
-            # finds it. Without the control host the answer goes out all the
-            # same, and a resend is told that the call runs until the end is
-            # committed.
-            await self._gateway.propose(ended)
+            # The commit comes first, so that a resend after the answer finds
+            # the record. If the control host is unreachable, the answer is
+            # sent anyway, and a resend is refused as "call_running" until the
+            # completion is committed.
+            await self._gateway.propose(end_command)
         except links.LinkDownError:
-            self._gateway.propose_surely(ended)
+            self._gateway.propose_surely(end_command)
         return result
 
-    def _ended(
+    def _end_command(
         self, outcome: str, answer: Answer | None = None
     ) -> calls_lib.EndCall:
         answer = answer or Answer(0, "", b"")
@@ -183,7 +187,7 @@
             team=self._team,
             service=self._service.name,
             key=self._call.key,
-            holder=self._holder,
+            holder=self._holder_id,
             outcome=outcome,
             status=answer.status,
             content_type=answer.content_type,
@@ -192,26 +196,30 @@
 
     async def _send(self, *, repeatable: bool) -> Answer | findings.Failure:
         while True:
-            place = await self._attempts.place(begun=self._sent)
-            if isinstance(place, findings.Failure):
-                return self._broken(self._attempts.why) if self._sent else place
-            result = await self._run_on(place)
+            ticket = await self._attempts.place(begun=self._sent)
+            if isinstance(ticket, findings.Failure):
+                return (
+                    self._target_failure(self._attempts.why)
+                    if self._sent
+                    else ticket
+                )
+            result = await self._run_on(ticket)
             if isinstance(result, Answer):
                 return result
             if self._sent and not repeatable:
-                return self._broken(str(result))
-            if not await self._attempts.may_go_on(
+                return self._target_failure(str(result))
+            if not await self._attempts.may_retry(
                 str(result), sent=result.sent
             ):
-                return self._broken(str(result))
+                return self._target_failure(str(result))
 
     async def _run_on(
-        self, place: messages.Ticket
+        self, ticket: messages.Ticket
     ) -> Answer | exchange_lib.ExchangeError:
-        """Runs one attempt, and gives its place back whatever happens."""
+        """Runs one attempt and returns its ticket in every case."""
         result: Answer | exchange_lib.ExchangeError | None = None
         try:
-            result = await self._exchange(self._attempts.name, place)
+            result = await self._run_attempt(self._attempts.name, ticket)
             return result
         finally:
             self._attempts.give_back(
@@ -220,19 +228,19 @@
                 answered=isinstance(result, Answer),
             )
 
-    def _broken(self, why: str) -> findings.Failure:
+    def _target_failure(self, cause: str) -> findings.Failure:
         if not self._sent:
             return findings.not_run(
-                "target_failed", why, status=503, retry_after=1.0
+                "target_failed", cause, status=503, retry_after=1.0
             )
         return findings.Failure(
             outcome=findings.Outcome.UNKNOWN,
             reason="target_failed",
-            detail=f"the service broke off after the call was sent: {why}",
+            detail=f"the service failed after the call was sent: {cause}",
             status=502,
         )
 
-    async def _exchange(
+    async def _run_attempt(
         self, name: str, ticket: messages.Ticket
     ) -> Answer | exchange_lib.ExchangeError:
         exchange = exchange_lib.Exchange(pool=self._pool, url=ticket.url)
@@ -253,9 +261,10 @@
             body = bytearray()
             async for chunk in exchange.chunks(silence=seconds):
                 body += chunk
-                if len(body) > _LONGEST_ANSWER_BYTES:
+                if len(body) > _MAX_ANSWER_BYTES:
                     raise exchange_lib.ExchangeError(
-                        f"answer above {_LONGEST_ANSWER_BYTES} bytes", sent=True
+                        f"the answer exceeds {_MAX_ANSWER_BYTES} bytes",
+                        sent=True,
                     )
             content_type = head.headers.get("Content-Type", "")
             return Answer(head.status, content_type, bytes(body))
@@ -266,8 +275,10 @@
             exchange.close()
 
 
-def _known(record: calls_lib.Record, same: bool) -> Answer | findings.Failure:
-    """Answers a call that has a record already."""
+def _answer_from_record(
+    record: calls_lib.Record, same: bool
+) -> Answer | findings.Failure:
+    """Returns the answer to a call that already has a record."""
     if not same:
         return findings.not_run(
             "idempotency_conflict",
@@ -287,8 +298,8 @@
         return findings.Failure(
             outcome=findings.Outcome.UNKNOWN,
             reason="call_running",
-            detail="the first send of this call still runs; come back for its "
-            "answer",
+            detail="an earlier send of this call is still running; retry later "
+            "for its answer",
             status=409,
             retry_after=1.0,
         )
@@ -301,7 +312,7 @@
     )
 
 
-def _forgotten(reason: str) -> findings.Failure:
+def _forgotten_key_failure(reason: str) -> findings.Failure:
     if reason == "expired":
         return findings.Failure(
             outcome=findings.Outcome.UNKNOWN,
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -13,7 +13,7 @@
 
 
 class RelayTest(site.SiteTest):
-    """Streams whose targets break, and what the caller sees of it."""
+    """Answers that callers receive when targets of their streams fail."""
 
     more_settings = "[requests]\nstream_silence_seconds = 0.4\n"
 
@@ -21,13 +21,13 @@
         await super().asyncSetUp()
         await self.set_up_rules()
 
-    async def test_streams_a_whole_answer(self):
+    async def test_stream_is_complete(self):
         await self.add_engine("e1")
         reply = await (await self.chat(count=30)).reply()
         self.assertTrue(reply.whole)
         self.assertEqual(reply.text, site.expected_text(30))
 
-    async def test_whole_answer_without_stream(self):
+    async def test_answer_without_stream_is_complete(self):
         await self.add_engine("e1")
         reply = await (await self.chat(count=7, stream=False)).reply()
         answer = json.loads(reply.body)
@@ -35,12 +35,12 @@
         self.assertEqual(message["content"], site.expected_text(7))
         self.assertEqual(answer["usage"]["completion_tokens"], 7)
 
-    async def test_killed_engine_is_continued_elsewhere(self):
-        """The caller sees every token once, in order, and the final marker.
+    async def test_stream_of_a_killed_engine_is_resumed(self):
+        """Guards against lost, repeated or reordered tokens after a failure.
 
-        The first engine cuts its connection after five tokens. The gateway
-        asks for another place and has the second engine continue at token
-        six; the seam shows only in the log.
+        The first engine closes its connection after five tokens. The gateway
+        requests another ticket and the second engine continues at token six.
+        The caller receives every token once, in order, and the final marker.
         """
         await self.add_engine("e1", options=_options(break_after=5))
         await self.add_engine("e2", options=_options(break_after=12))
@@ -49,11 +49,13 @@
         self.assertTrue(reply.whole)
         self.assertEqual(reply.text, site.expected_text(40))
 
-    async def test_answer_that_ends_early_in_good_order_is_not_whole(self):
-        """The caller sees a typed end, or with another copy the whole answer.
+    async def test_answer_without_final_marker_is_not_complete(self):
+        """Guards against reporting a truncated answer as complete.
 
         The engine ends the body properly after five tokens, without the final
-        marker: only that tells it from a whole answer.
+        marker; nothing else distinguishes it from a complete answer. The
+        caller receives a typed error, or with a second engine the complete
+        answer.
         """
         await self.add_engine("e1", options=_options(end_after=5))
         reply = await (await self.chat(count=40)).reply()
@@ -66,12 +68,13 @@
         self.assertTrue(reply.whole)
         self.assertEqual(reply.text, site.expected_text(40))
 
-    async def test_silent_engine_is_continued_elsewhere(self):
-        """The caller sees a pause, then the rest.
+    async def test_stream_of_a_silent_engine_is_resumed(self):
+        """Guards against streams that hang on a silent connection.
 
-        The first engine's connection stays open but says nothing more, as
-        behind a middlebox that forgot it. No error ever comes; the limit on
-        silence abandons the connection and the second engine goes on.
+        The first engine's connection stays open but sends no more bytes, as
+        if a middlebox had dropped its state, and no error occurs. The limit on
+        silence closes the connection and the second engine continues. The
+        caller receives the rest after a pause.
         """
         stalling = await self.add_engine("e1", options=_options(stall_after=3))
         await self.add_engine("e2", options=_options())
@@ -81,11 +84,12 @@
             self.assertTrue(reply.whole)
         self.assertTrue(stalling.seen)
 
-    async def test_killed_engine_without_another_copy_ends_typed(self):
-        """The caller sees some tokens, then an error event, no final marker.
+    async def test_killed_engine_without_another_copy_gives_an_error(self):
+        """Guards against a truncated answer that looks complete.
 
-        The only engine cuts the stream. A short answer must not look whole,
-        and the work did run, so the outcome is "failed".
+        The only engine closes the stream. The caller receives some tokens,
+        then an error event and no final marker. The request did run, so the
+        outcome is "failed".
         """
         await self.add_engine("e1", options=_options(break_after=5))
         reply = await (await self.chat(count=40)).reply()
@@ -93,11 +97,12 @@
         self.assertEqual(reply.error["outcome"], "failed")
         self.assertEqual(reply.error["type"], "target_failed")
 
-    async def test_engine_that_cannot_resume_is_not_asked_to(self):
-        """The caller gets a typed end, not a second beginning.
+    async def test_engine_that_cannot_resume_gets_no_resumed_stream(self):
+        """Guards against a second, different answer within one stream.
 
-        The copy that is left cannot continue a stream; sending it the prompt
-        again would give the caller other words after the first five.
+        The remaining engine cannot resume a stream. If it were sent the
+        prompt again, the caller would receive other tokens after the first
+        five. The caller receives a typed error instead.
         """
         await self.add_engine("e1", options=_options(break_after=5))
         other = await self.add_engine(
@@ -106,16 +111,16 @@
         reply = await (await self.chat(count=40)).reply()
         self.assertFalse(reply.whole)
         self.assertEqual(reply.error["outcome"], "failed")
-        # The cut may take words with it that were still under way.
+        # Tokens in transit may be lost when the connection closes.
         self.assertTrue(site.expected_text(5).startswith(reply.text))
         for seen in other.seen:
             self.assertNotIn("endivestream", seen["body"])
 
-    async def test_crossed_answer_is_never_shown(self):
-        """The caller sees only its own words.
+    async def test_answer_of_another_attempt_is_not_relayed(self):
+        """Guards against disclosing another caller's answer.
 
-        A confused engine answers with another attempt's id. The gateway drops
-        the answer unseen and takes another engine.
+        A faulty engine answers with the id of another attempt. The gateway
+        drops the answer and uses another engine.
         """
         await self.add_engine("e1", options=_options(wrong_attempt=True))
         await self.add_engine("e2")
@@ -124,11 +129,11 @@
             self.assertTrue(reply.whole)
             self.assertEqual(reply.text, site.expected_text(10))
 
-    async def test_dead_engine_is_passed_over(self):
-        """The caller sees an ordinary answer.
+    async def test_unreachable_engine_is_replaced(self):
+        """Guards against failing a request that has not been sent.
 
-        One engine died a moment ago and is still thought live; connecting
-        fails, which proves that nothing was sent, and another is taken.
+        One engine has just stopped and is still registered. Connecting to it
+        fails, which proves that nothing was sent, so another engine is used.
         """
         dead = await self.add_engine("e1")
         dead.silent = True
@@ -138,17 +143,18 @@
         reply = await (await self.chat(count=10)).reply()
         self.assertTrue(reply.whole)
 
-    async def test_no_engine_is_a_true_not_run_with_a_time(self):
+    async def test_no_engine_gives_not_run_and_retry_after(self):
         reply = await (await self.chat()).reply()
         self.assertEqual(reply.status, 503)
         self.assertEqual(reply.error["outcome"], "not_run")
         self.assertIn("Retry-After", reply.headers)
 
     async def test_withdrawn_key_ends_its_stream(self):
-        """The caller sees a typed error that names the key's label.
+        """Guards against streams that continue after their key is withdrawn.
 
-        A stream runs when its key is withdrawn. The gateway hears of it, ends
-        the request and closes the engine's connection, so the engine stops.
+        When the gateway receives the withdrawal it ends the request and closes
+        the engine's connection, so the engine stops. The caller receives a
+        typed error with the label of the key.
         """
         engine = await self.add_engine(
             "e1", options=engine_lib.Options(step_seconds=0.02)
@@ -166,10 +172,10 @@
         self.assertEqual(again.error["outcome"], "not_run")
 
     async def test_withdrawn_key_refuses_queued_work(self):
-        """The caller whose request waits for a place is told "not run".
+        """Guards against running queued requests of a withdrawn key.
 
-        The engine has one place and it is taken; the withdrawal reaches the
-        request in the queue, of which no byte has left.
+        The only slot of the engine is in use when the withdrawal arrives. No
+        byte of the queued request was sent, so its outcome is "not_run".
         """
         slow = engine_lib.Options(step_seconds=0.02)
         engine = await self.add_engine("e1", slots=1, options=slow)
@@ -183,11 +189,12 @@
         self.assertEqual(len(engine.seen), 1)
         first.close()
 
-    async def test_caller_who_leaves_stops_the_engine(self):
-        """The engine stops, its place is free and unused credit is back.
+    async def test_disconnected_caller_stops_the_engine(self):
+        """Guards against slots and credit held for a disconnected caller.
 
-        A caller closes its connection mid-stream. The engine hears of it by
-        the closed connection; the next caller gets the only place.
+        A caller closes its connection mid-stream and the gateway closes the
+        engine's connection. The engine stops, the next caller gets the only
+        slot, and unused credit is refunded.
         """
         engine = await self.add_engine(
             "e1", slots=1, options=engine_lib.Options(step_seconds=0.01)
@@ -200,11 +207,11 @@
         self.assertTrue(reply.whole)
         await site.until(lambda: self.control.control.levels["band"] > 99_000)
 
-    async def test_lease_that_ended_in_the_queue_begins_nothing(self):
-        """The caller is told "not run", use another host.
+    async def test_request_is_not_sent_if_the_lease_expired_in_the_queue(self):
+        """Guards against running a request under an outdated configuration.
 
-        The host was frozen while the request waited: its key may have been
-        withdrawn meanwhile, and the host cannot know.
+        The host was frozen while the request waited. Its key may have been
+        withdrawn in the meantime, so the request is refused as "not_run".
         """
         engine = await self.add_engine("e1")
         service = await self.add_service()
@@ -222,7 +229,7 @@
             self.assertEqual(reply.error["outcome"], "not_run")
         self.assertEqual(engine.seen + service.ran, [])
 
-    async def test_draining_target_gets_nothing_new(self):
+    async def test_draining_target_gets_no_requests(self):
         engine = await self.add_engine("e1")
         await self.add_engine("e2")
         answer = await self.control.gateway.ask(
@@ -235,7 +242,7 @@
 
 
 class KeysTest(site.SiteTest):
-    """Whose key opens what, and who gets to see it."""
+    """Access of keys to models and services, and secrecy of the keys."""
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
@@ -243,7 +250,7 @@
         self.engine = await self.add_engine("e1")
         self.service = await self.add_service()
 
-    async def test_no_target_sees_a_key(self):
+    async def test_keys_are_not_forwarded_to_targets(self):
         await (await self.chat(count=2)).reply()
         await self.order(name="a-key-of-an-order")
         seen = repr(self.engine.seen) + repr(self.service.ran)
@@ -261,10 +268,10 @@
         self.assertEqual(self.engine.seen + self.service.ran, [])
 
     async def test_withdrawn_key_ends_an_idle_connection_too(self):
-        """The next request on an open connection is refused.
+        """Guards against authenticating a connection only once.
 
-        The caller's connection was accepted while its key was good, and it
-        stays open and idle while the key is withdrawn.
+        The connection was accepted while the key was valid and stays idle
+        while the key is withdrawn. The next request on it must be refused.
         """
         address = self.control.settings.http.address
         reader, writer = await asyncio.open_connection(*address.split(":"))
@@ -284,7 +291,7 @@
         await self.revoke("band-1")
         self.assertEqual(await ask(), 401)
 
-    async def test_a_team_gets_only_what_its_rules_allow(self):
+    async def test_team_can_use_only_what_its_rules_allow(self):
         reply = await (await self.chat(key=site.OTHER_KEY)).reply()
         self.assertEqual(reply.status, 404)
         self.assertIn("valid: brass", reply.error["message"])
@@ -292,7 +299,7 @@
         self.assertEqual(reply.status, 404)
         self.assertEqual(reply.error["outcome"], "not_run")
 
-    async def test_bad_bodies_are_refused_before_anything_is_spent(self):
+    async def test_invalid_bodies_are_refused_before_credit_is_spent(self):
         for more, part in (
             ({"n": 2}, "'n' is 2"),
             ({"max_tokens": 0}, "'max_tokens'"),
@@ -305,14 +312,14 @@
             self.assertEqual(reply.error["outcome"], "not_run")
         self.assertEqual(self.engine.seen, [])
 
-    async def test_cost_above_the_burst_says_so_at_once(self):
+    async def test_cost_above_the_burst_is_refused_without_retry_after(self):
         reply = await (await self.chat(count=200_000)).reply()
         self.assertEqual(reply.error["type"], "above_burst")
         self.assertNotIn("Retry-After", reply.headers)
 
 
 class InterfaceTest(site.SiteTest):
-    """The other routes, each once."""
+    """Basic checks of the other HTTP routes."""
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
@@ -346,7 +353,7 @@
                 self.assertEqual(answer["object"], "text_completion")
                 self.assertEqual(answer["choices"][0]["text"], "".join(words))
 
-    async def test_models_are_the_teams_own(self):
+    async def test_models_lists_only_models_of_the_team(self):
         reply = await self._get("/v1/models")
         rows = {row["id"]: row for row in json.loads(reply.body)["data"]}
         self.assertEqual(sorted(rows), ["brass", "horns"])
@@ -365,21 +372,22 @@
         self.assertIn("endivestream_tokens_total 2.0", text)
         self.assertIn('outcome="ok"', text)
 
-    async def test_unknown_path_is_a_typed_not_run(self):
+    async def test_unknown_path_gives_not_run(self):
         reply = await self._get("/v2/nothing")
         self.assertEqual(reply.status, 404)
         self.assertEqual(reply.error["outcome"], "not_run")
 
 
 class InputTest(site.SiteTest):
-    """Slow and oversized input harms nobody else."""
+    """Slow and oversized requests do not affect other callers."""
 
     more_http = "body_seconds = 0.3\nidle_seconds = 0.3\n"
 
     async def test_slow_input_is_cut_off(self):
-        """Others are served; the slow caller's connection ends.
+        """Guards against connections that are held by slow callers.
 
-        One caller never ends its head, another never ends its body.
+        One caller never completes its headers, another never completes its
+        body. Other callers are served in the meantime.
         """
         address = self.control.settings.http.address
         host, port = address.split(":")
--- a/tests/test_service_calls.py
+++ b/tests/test_service_calls.py
@@ -2,7 +2,7 @@
 
 
 class ServiceCallTest(site.SiteTest):
-    """Non-idempotent calls run at most once, and what is said is true."""
+    """Non-idempotent calls run at most once and report true outcomes."""
 
     more_settings = "[requests]\nservice_seconds = 5.0\n"
 
@@ -19,11 +19,11 @@
         self.assertEqual(len(service.ran), 1)
 
     async def test_lost_answer_is_unknown_and_never_sent_again(self):
-        """The caller is told "unknown", also when it resends.
+        """Guards against running an order twice.
 
-        The service runs the order and its connection is cut before the
-        answer. A second service stands ready; sending there would run the
-        order twice.
+        The service runs the order and closes its connection before the
+        answer. Sending the order to the second available service would run it
+        twice. The outcome is "unknown", also for a resend.
         """
         service = await self.add_service()
         other = await self.add_service("desk-2")
@@ -35,11 +35,11 @@
         self.assertEqual(second.error["type"], "call_fate_unknown")
         self.assertEqual(len(service.ran) + len(other.ran), 1)
 
-    async def test_unreachable_service_frees_the_key(self):
-        """The caller is told "not run", comes back, and the order runs.
+    async def test_unreachable_service_releases_the_key(self):
+        """Guards against a key that stays blocked by a call that never ran.
 
-        Connecting to the dead service fails, so no byte left and the record
-        is taken back.
+        Connecting to the stopped service fails, so no byte was sent and the
+        record is removed. The outcome is "not_run" and a resend runs.
         """
         dead = await self.add_service("desk-1")
         dead.silent = True
@@ -52,7 +52,7 @@
         self.assertEqual(second.status, 200)
         self.assertEqual(len(alive.ran), 1)
 
-    async def test_another_body_under_the_same_key_is_a_conflict(self):
+    async def test_other_body_with_the_same_key_is_a_conflict(self):
         service = await self.add_service()
         await self.order(name="order-4", body=b"{}")
         reply = await self.order(name="order-4", body=b'{"count": 2}')
@@ -60,13 +60,13 @@
         self.assertEqual(reply.error["outcome"], "not_run")
         self.assertEqual(len(service.ran), 1)
 
-    async def test_key_is_needed(self):
+    async def test_call_without_key_is_refused(self):
         service = await self.add_service()
         reply = await self.order(name="")
         self.assertEqual(reply.error["type"], "idempotency_key_needed")
         self.assertEqual(service.ran, [])
 
-    async def test_idempotent_call_is_repeated(self):
+    async def test_idempotent_call_is_retried(self):
         service = await self.add_service()
         other = await self.add_service("desk-2")
         service.cut_answers = 1
@@ -75,7 +75,7 @@
             reply = await self.order(name="", path="lookup")
             self.assertEqual(reply.status, 200)
 
-    async def test_resend_while_the_first_runs_does_not_run(self):
+    async def test_resend_during_the_first_call_does_not_run(self):
         service = await self.add_service()
         service.delay_seconds = 0.3
         address = self.control.settings.http.address
