--- a/packages/endivestream/src/endivestream/request/__init__.py
+++ b/packages/endivestream/src/endivestream/request/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as one request: limits, scheduling, relaying."""
+"""Handling of requests: admission, scheduling, limits and relaying."""
--- a/packages/endivestream/src/endivestream/request/call.py
+++ b/packages/endivestream/src/endivestream/request/call.py
@@ -1,4 +1,4 @@
-"""One caller's request on its connection, and the way its answer goes back."""
+"""HTTP requests of callers and the connections that carry the answers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 from endivestream import tasks
 
-# Headers that speak of one connection only.
+# Hop-by-hop headers, which apply to a single connection and are not forwarded.
 HOP_HEADERS = frozenset(
     {
         "Connection",
@@ -35,14 +35,14 @@
 
 
 class Call:
-    """A whole request that was read, and its answer.
+    """A completely read request, and the means to answer it.
 
     Attributes:
-        method: The method.
-        uri: Path and query, as the caller sent them.
-        headers: The caller's headers.
-        body: The whole body.
-        came: When its last byte was read.
+        method: HTTP method.
+        uri: Path and query as sent by the caller.
+        headers: Headers sent by the caller.
+        body: The complete body.
+        came: Time at which the last byte was read.
     """
 
     def __init__(
@@ -60,31 +60,35 @@
         self.body = body
         self.came = came
         self._connection = connection
-        self._begun = False
+        self._head_sent = False
 
     @property
     def path(self) -> str:
-        """The path without the query."""
+        """Path without the query."""
         return self.uri.partition("?")[0]
 
     @property
     def begun(self) -> bool:
-        """Whether the head of an answer has been sent."""
-        return self._begun
+        """Whether the status line and headers of the answer have been sent."""
+        return self._head_sent
 
     async def begin(
         self, status: int, headers: httputil.HTTPHeaders, chunk: bytes = b""
     ) -> None:
-        """Sends the head and the first bytes of the body."""
-        self._begun = True
-        reason = http.client.responses.get(status, "Unknown")
-        line = httputil.ResponseStartLine("HTTP/1.1", status, reason)
+        """Sends the status line, headers and first bytes of the body."""
+        self._head_sent = True
+        reason_phrase = http.client.responses.get(status, "Unknown")
+        response_line = httputil.ResponseStartLine(
+            "HTTP/1.1", status, reason_phrase
+        )
         await self._write(
-            lambda: self._connection.write_headers(line, headers, chunk or None)
+            lambda: self._connection.write_headers(
+                response_line, headers, chunk or None
+            )
         )
 
     async def write(self, chunk: bytes) -> None:
-        """Sends more of the body; waits while the caller is slow to read."""
+        """Sends a part of the body; waits while the caller reads slowly."""
         await self._write(lambda: self._connection.write(chunk))
 
     async def _write(self, send: Callable[[], Awaitable[None]]) -> None:
@@ -94,30 +98,30 @@
             raise GoneError(str(error)) from error
 
     def finish(self) -> None:
-        """Ends a whole answer."""
+        """Marks the answer as complete."""
         try:
             self._connection.finish()
         except (iostream.StreamClosedError, OSError) as error:
             raise GoneError(str(error)) from error
 
     def abort(self) -> None:
-        """Closes the connection, so that the answer does not look whole."""
+        """Closes the connection, so that the answer is visibly incomplete."""
         self._connection.close()
 
     async def answer(
         self, status: int, headers: dict[str, str], body: bytes
     ) -> None:
-        """Sends a whole answer of our own."""
-        fields = httputil.HTTPHeaders(headers)
-        fields["Content-Length"] = str(len(body))
-        await self.begin(status, fields, body)
+        """Sends a complete answer that this host produced itself."""
+        answer_headers = httputil.HTTPHeaders(headers)
+        answer_headers["Content-Length"] = str(len(body))
+        await self.begin(status, answer_headers, body)
         self.finish()
 
 
 class Front(httputil.HTTPServerConnectionDelegate):
-    """Reads whole requests and starts a task for each.
+    """Reads complete requests and starts a task for each.
 
-    The task is cancelled when its caller closes the connection.
+    The task is cancelled when the caller closes the connection.
     """
 
     def __init__(
@@ -132,7 +136,7 @@
 
     @property
     def running(self) -> int:
-        """Requests under way."""
+        """Number of requests that are being served."""
         return len(self._running)
 
     def start_request(
@@ -140,23 +144,23 @@
         server_conn: object,
         request_conn: httputil.HTTPConnection,
     ) -> httputil.HTTPMessageDelegate:
-        """Returns what takes one request's parts."""
+        """Returns a delegate that reads one request."""
         assert isinstance(request_conn, http1connection.HTTP1Connection)
-        return _Incoming(front=self, connection=request_conn)
+        return _RequestReader(front=self, connection=request_conn)
 
     def on_close(self, server_conn: object) -> None:
-        """A connection has ended; its request has heard of it."""
+        """Does nothing: the delegate of the request handles the close."""
 
     def start(self, call: Call) -> asyncio.Task[None]:
-        """Starts to serve a request that was read."""
+        """Starts a task that serves a request."""
         task = tasks.start(self._serve(call), "request")
         self._running.add(task)
         task.add_done_callback(self._running.discard)
         return task
 
 
-class _Incoming(httputil.HTTPMessageDelegate):
-    """Gathers one request."""
+class _RequestReader(httputil.HTTPMessageDelegate):
+    """Reads one request and starts its task."""
 
     def __init__(
         self, *, front: Front, connection: http1connection.HTTP1Connection
@@ -190,7 +194,7 @@
             came=self._front._now(),
         )
         self._task = self._front.start(call)
-        # The work of a caller who has left must end at once.
+        # Cancels the task immediately when the caller disconnects.
         self._connection.set_close_callback(self.on_connection_close)
 
     def on_connection_close(self) -> None:
--- a/packages/endivestream/src/endivestream/request/names.py
+++ b/packages/endivestream/src/endivestream/request/names.py
@@ -1,4 +1,4 @@
-"""Names of the request headers that the product reads and sets."""
+"""Names of the request and response headers that this system uses."""
 
 from __future__ import annotations
 
@@ -6,23 +6,25 @@
 
 
 class HeaderNames(NamedTuple):
-    """Header names, by what they hold. The defaults are the product's own.
+    """Header names by content. The defaults are this system's own names.
 
     Attributes:
         request: Id of one attempt of a caller.
-        deadline_ms: How long the receiver of a request may take.
+        deadline_ms: Time in milliseconds within which to answer a request.
         model: `MODEL` or `MODEL/ADAPTER`.
-        tokens: Prompt tokens and most generated tokens, with a comma between.
-        prefix: Parts of the prompt as `ID:TOKENS`, with commas between.
-        team: Whose request it is; for targets.
-        instance: The target that is meant; others refuse without running it.
+        tokens: Number of prompt tokens and maximum number of generated tokens,
+            separated by a comma.
+        prefix: Parts of the prompt as `ID:TOKENS`, separated by commas.
+        team: Team of the caller; sent to targets.
+        instance: Target that the request is sent to; other targets refuse the
+            request without running it.
         not_run: In a target's answer: the request has not run.
-        priority: 0 to 9, 0 is first; for targets.
-        last_event: The last event that a resumed stream's caller has.
-        retry_after: Seconds after which to come back.
-        key_scheme: The word before the key in `Authorization`.
-        rate_limit: In a target's answer: the requests a second that it takes
-            from all hosts together, for as long as it says so.
+        priority: 0 to 9, where 0 is the highest priority; sent to targets.
+        last_event: Last event that the caller of a resumed stream received.
+        retry_after: Seconds after which the caller should retry.
+        key_scheme: Scheme before the key in `Authorization`.
+        rate_limit: In a target's answer: requests per second that the target
+            accepts from all hosts together, while it sends this header.
         reserved: Further headers that only this system may set.
     """
 
--- a/packages/endivestream/src/endivestream/request/sse.py
+++ b/packages/endivestream/src/endivestream/request/sse.py
@@ -1,21 +1,22 @@
-"""Server-sent events: split a byte stream into events without losing any."""
+"""Server-sent events: splits a byte stream into complete events."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-# One event holds one token or a final summary; anything near this is a fault.
+# Maximum size of an event. An event has one token or a final summary, so a
+# larger one is a fault.
 LONGEST_EVENT_BYTES = 1024 * 1024
 
 DONE = b"[DONE]"
 
 
 class Event(NamedTuple):
-    """One event.
+    """A parsed event.
 
     Attributes:
-        id: Its `id:` field, or empty.
-        data: Its `data:` lines, joined.
+        id: Value of the `id:` field, or empty.
+        data: The `data:` lines, joined.
     """
 
     id: bytes
@@ -27,48 +28,50 @@
 
 
 class Splitter:
-    """Collects chunks and gives whole events; the rest stays for later."""
+    """Parses chunks into events; an incomplete event is kept for later."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._incomplete = b""
 
     def feed(self, chunk: bytes) -> list[Event]:
-        """Takes a chunk in and returns the events that it completes.
+        """Adds a chunk and returns the events that it completes.
 
         Raises:
-            TooLongError: The stream holds no event end for too long.
+            TooLongError: An incomplete event exceeds `LONGEST_EVENT_BYTES`.
         """
-        buffer = self._rest + chunk
+        buffer = self._incomplete + chunk
         if b"\r" in buffer:
             buffer = buffer.replace(b"\r\n", b"\n")
-        *blocks, self._rest = buffer.split(b"\n\n")
-        if len(self._rest) > LONGEST_EVENT_BYTES:
-            raise TooLongError(f"{len(self._rest)} bytes without an event end")
-        return [_event(block) for block in blocks if block]
+        *blocks, self._incomplete = buffer.split(b"\n\n")
+        if len(self._incomplete) > LONGEST_EVENT_BYTES:
+            raise TooLongError(
+                f"{len(self._incomplete)} bytes without an event end"
+            )
+        return [_parse_event(block) for block in blocks if block]
 
 
-def _event(block: bytes) -> Event:
-    name = b""
+def _parse_event(block: bytes) -> Event:
+    event_id = b""
     data = []
     for line in block.split(b"\n"):
         if line.startswith(b"data:"):
             data.append(line[5:].removeprefix(b" "))
         elif line.startswith(b"id:"):
-            name = line[3:].strip()
-    return Event(name, b"\n".join(data))
+            event_id = line[3:].strip()
+    return Event(event_id, b"\n".join(data))
 
 
 def encode(data: bytes) -> bytes:
-    """Returns one event of `data`, which must hold no line feed."""
+    """Returns one event of `data`, which must not contain a line feed."""
     return b"data: " + data + b"\n\n"
 
 
 class RawEvent(NamedTuple):
-    """One event as it came.
+    """An event with its received bytes.
 
     Attributes:
-        id: Its `id:` field, or empty.
-        raw: All its bytes with the empty line at its end.
+        id: Value of the `id:` field, or empty.
+        raw: All bytes, including the empty line at the end.
     """
 
     id: bytes
@@ -76,27 +79,29 @@
 
 
 class Cutter:
-    """Cuts a byte stream after whole events, keeping every byte as it is.
+    """Splits a byte stream into complete events without changing any byte.
 
-    A target that breaks off in the middle of an event must not have its half
-    passed on: the stream could not be taken up elsewhere.
+    If a target fails in the middle of an event, the incomplete event must not
+    be forwarded, because the stream could not be resumed on another target.
     """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._incomplete = b""
 
     @property
     def rest(self) -> bytes:
-        """What has come of an event that is not whole yet."""
-        return self._rest
+        """Received bytes of an incomplete event."""
+        return self._incomplete
 
     def feed(self, chunk: bytes) -> list[RawEvent]:
-        """Takes a chunk in and returns the events that it completes.
+        """Adds a chunk and returns the events that it completes.
 
         Raises:
-            TooLongError: The stream holds no event end for too long.
+            TooLongError: An incomplete event exceeds `LONGEST_EVENT_BYTES`.
         """
-        *blocks, self._rest = (self._rest + chunk).split(b"\n\n")
-        if len(self._rest) > LONGEST_EVENT_BYTES:
-            raise TooLongError(f"{len(self._rest)} bytes without an event end")
-        return [RawEvent(_event(b).id, b + b"\n\n") for b in blocks]
+        *blocks, self._incomplete = (self._incomplete + chunk).split(b"\n\n")
+        if len(self._incomplete) > LONGEST_EVENT_BYTES:
+            raise TooLongError(
+                f"{len(self._incomplete)} bytes without an event end"
+            )
+        return [RawEvent(_parse_event(b).id, b + b"\n\n") for b in blocks]
