--- a/packages/endivestream/src/endivestream/request/admission.py
+++ b/packages/endivestream/src/endivestream/request/admission.py
@@ -88,15 +88,15 @@
         return no_lease()
     route = table.route(call.headers.get("Host", ""), call.path)
     if route is None:
-        what = "no route matches this host name and path"
-        return findings.not_run("no_route", what, status=404)
+        detail = "no route matches this host name and path"
+        return findings.not_run("no_route", detail, status=404)
     if not rules.takes(route.kind):
         return stopping()
     key = _parse_key(call.headers.get("Authorization", ""), names.key_scheme)
     owner = table.owner(route, key)
     if owner is None:
-        what = "this key is not known"
-        return findings.not_run("unknown_key", what, status=401)
+        detail = "this key is not known"
+        return findings.not_run("unknown_key", detail, status=401)
     request = call.headers.get(names.request, "")
     service = table.service(routes_lib.pick_service(route, request))
     assert service is not None, "checked when the document was applied"
@@ -122,25 +122,25 @@
 
 def stopping() -> findings.Failure:
     """Returns the refusal of a host that stops before the request ends."""
-    what = "this host is about to stop"
+    detail = "this host is about to stop"
     return findings.not_run(
-        "stopping", what, status=503, retry_after=_OTHER_HOST_RETRY_SECONDS
+        "stopping", detail, status=503, retry_after=_OTHER_HOST_RETRY_SECONDS
     )
 
 
 def no_lease() -> findings.Failure:
     """Returns the refusal of a host without a valid configuration lease."""
-    what = "this host has no current configuration"
+    detail = "this host has no current configuration"
     return findings.not_run(
-        NO_LEASE, what, status=503, retry_after=COME_BACK_SECONDS
+        NO_LEASE, detail, status=503, retry_after=COME_BACK_SECONDS
     )
 
 
 def unconfirmed() -> findings.Failure:
     """Returns the refusal of a host whose configuration may be outdated."""
-    what = "no leader confirms this host's configuration"
+    detail = "no leader confirms this host's configuration"
     return findings.not_run(
-        "unconfirmed", what, status=503, retry_after=COME_BACK_SECONDS
+        "unconfirmed", detail, status=503, retry_after=COME_BACK_SECONDS
     )
 
 
@@ -175,7 +175,7 @@
 
 
 def _parse_tokens(value: str) -> _RequestSize | None:
-    """Returns the size stated in a header, or None if it is invalid."""
+    """Returns the size stated in a header, or None if it is not numeric."""
     prompt, _, generated = value.partition(",")
     try:
         return _RequestSize(float(prompt), float(generated or 0))
--- a/packages/endivestream/src/endivestream/request/choice.py
+++ b/packages/endivestream/src/endivestream/request/choice.py
@@ -185,14 +185,14 @@
     def set_targets(
         self,
         changed: Collection[site_messages.Target],
-        gone: Collection[str],
+        removed: Collection[str],
         now: float = 0.0,
     ) -> None:
         """Applies a table update of the leader.
 
         Args:
             changed: Targets that are new or have changed.
-            gone: Names of targets that were removed.
+            removed: Names of targets that were removed.
             now: Current time; remaining load times of models count from it.
         """
         for target in changed:
@@ -217,7 +217,7 @@
                 loading.model: now + loading.seconds
                 for loading in target.coming
             }
-        for name in gone:
+        for name in removed:
             self._targets.pop(name, None)
             self._loads_expected_at.pop(name, None)
             self._blocked_until.pop(name, None)
@@ -256,20 +256,26 @@
         """Sets how many entry hosts there are, this one included."""
         self._hosts = max(1, hosts)
 
-    def is_rate_limited(self, said: registry_lib.Registration) -> bool:
+    def is_rate_limited(self, registration: registry_lib.Registration) -> bool:
         """Returns whether a target reports a rate limit."""
-        return self._limits.rate(said.name, said.born) is not None
+        return (
+            self._limits.rate(registration.name, registration.born) is not None
+        )
 
     def block(self, target: str, until: float) -> None:
         """Sends no requests to a target until a time because of its limit."""
         self._blocked_until[target] = until
 
-    def still_takes(self, said: registry_lib.Registration, ask: Ask) -> bool:
+    def still_takes(
+        self, registration: registry_lib.Registration, ask: Ask
+    ) -> bool:
         """Returns whether a target selected earlier can still be used."""
-        target = self._targets.get(said.name)
-        if target is None or target.said.born != said.born:
+        target = self._targets.get(registration.name)
+        if target is None or target.said.born != registration.born:
             return False
-        has_model = not ask.model or self._has_model(said.name, ask.model)
+        has_model = not ask.model or self._has_model(
+            registration.name, ask.model
+        )
         return has_model and not target.said.draining
 
     def pick(self, ask: Ask, now: float, *, limit: int) -> Picked | Unavailable:
@@ -500,13 +506,17 @@
             state.retry_at = now + min(_MAX_EJECTION_SECONDS, ejection_seconds)
         return is_last_use
 
-    def denied(self, target: str, what: str) -> None:
+    def denied(self, target: str, name: str) -> None:
         """Records that a target denied to have a model or adapter.
 
         Applies until the leader sends a changed entry for the target.
+
+        Args:
+            target: Name of the target.
+            name: Name of the model, or `MODEL/ADAPTER`.
         """
         if target in self._states:
-            self._states[target].denied_names.add(what)
+            self._states[target].denied_names.add(name)
 
     def failing(self, now: float) -> tuple[str, ...]:
         """Returns the targets that get no requests because they fail."""
--- a/packages/endivestream/src/endivestream/request/generation.py
+++ b/packages/endivestream/src/endivestream/request/generation.py
@@ -41,8 +41,8 @@
     body: dict[str, Any]
 
 
-def _invalid_request(what: str) -> findings.Failure:
-    return findings.not_run("invalid_request", what, status=400)
+def _invalid_request(detail: str) -> findings.Failure:
+    return findings.not_run("invalid_request", detail, status=400)
 
 
 def read(
@@ -80,8 +80,8 @@
         available = [
             n for n in rules.allowed.get(team, ()) if rules.model_of(n)
         ]
-        what = findings.unknown_word("model", model, available)
-        return findings.not_run("unknown_model", what, status=404)
+        detail = findings.unknown_word("model", model, available)
+        return findings.not_run("unknown_model", detail, status=404)
     problem = _find_problem(body, chat=chat)
     if problem:
         return _invalid_request(problem)
--- a/tests/test_buckets.py
+++ b/tests/test_buckets.py
@@ -145,17 +145,25 @@
     def step(self):
         rng = self.rng
         match rng.choices(
-            ("pass", "charge", "greed", "again", "settle", "cancel", "log")
-            + ("die",),
+            (
+                "pass",
+                "charge",
+                "charge_all",
+                "repeat",
+                "settle",
+                "cancel",
+                "commit_or_drop",
+            )
+            + ("fail_over",),
             (15, 30, 15, 3, 20, 3, 30, 5),
         )[0]:
             case "pass":
                 self.now += rng.choice((1, SECOND // 10, SECOND, 8 * SECOND))
             case "charge":
                 self._charge()
-            case "greed":
+            case "charge_all":
                 self._charge_all()
-            case "again" if self.open:
+            case "repeat" if self.open:
                 name = rng.choice(list(self.open))
                 charge = buckets.Charge(name, self.open[name])
                 answer = self.bucket.charge(
@@ -168,9 +176,9 @@
                 name = rng.choice(list(self.waiting))
                 self.bucket.cancel(name)
                 del self.waiting[name]
-            case "log":
+            case "commit_or_drop":
                 self._commit_or_drop()
-            case "die":
+            case "fail_over":
                 self._fail_over()
         for charge in self.bucket.ready(self.now):
             self._admit(charge.request, self.waiting.pop(charge.request))
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -9,7 +9,7 @@
 
 def target(name, *, models=(), domain="a", number=1, **fields):
     loaded = tuple(registry_lib.Loaded(model) for model in models)
-    said = test_registry.said(
+    registration = test_registry.said(
         name,
         number=number,
         domain=domain,
@@ -18,7 +18,7 @@
         slots=fields.pop("slots", 64),
         draining=fields.pop("draining", False),
     )
-    return site_messages.Target(said=said, **fields)
+    return site_messages.Target(said=registration, **fields)
 
 
 class ViewTest(unittest.TestCase):
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -113,8 +113,8 @@
         self.assertEqual(reply.error["outcome"], "failed")
         # Tokens in transit may be lost when the connection closes.
         self.assertTrue(site.expected_text(5).startswith(reply.text))
-        for seen in other.seen:
-            self.assertNotIn("endivestream", seen["body"])
+        for request in other.seen:
+            self.assertNotIn("endivestream", request["body"])
 
     async def test_answer_of_another_attempt_is_not_relayed(self):
         """Guards against disclosing another caller's answer.
@@ -167,9 +167,9 @@
         self.assertEqual(reply.error["type"], "key_withdrawn")
         self.assertIn("band-1", reply.error["message"])
         await site.until(lambda: engine.cancelled == 1)
-        again = await (await self.chat()).reply()
-        self.assertEqual(again.status, 401)
-        self.assertEqual(again.error["outcome"], "not_run")
+        second_reply = await (await self.chat()).reply()
+        self.assertEqual(second_reply.status, 401)
+        self.assertEqual(second_reply.error["outcome"], "not_run")
 
     async def test_withdrawn_key_refuses_queued_work(self):
         """Guards against running queued requests of a withdrawn key.
@@ -216,15 +216,15 @@
         engine = await self.add_engine("e1")
         service = await self.add_service()
         gateway = type(self.control.gateway)
-        for ask in (self.chat, self.order):
+        for send in (self.chat, self.order):
             with unittest.mock.patch.object(
                 gateway, "leased", unittest.mock.PropertyMock()
             ) as leased:
                 leased.side_effect = [True] + [False] * 50
-                if ask == self.chat:
-                    reply = await (await ask()).reply()
+                if send == self.chat:
+                    reply = await (await send()).reply()
                 else:
-                    reply = await ask(name="order-1")
+                    reply = await send(name="order-1")
             self.assertEqual(reply.error["type"], "no_lease")
             self.assertEqual(reply.error["outcome"], "not_run")
         self.assertEqual(engine.seen + service.ran, [])
@@ -253,9 +253,9 @@
     async def test_keys_are_not_forwarded_to_targets(self):
         await (await self.chat(count=2)).reply()
         await self.order(name="a-key-of-an-order")
-        seen = repr(self.engine.seen) + repr(self.service.ran)
-        self.assertNotIn(site.KEY, seen)
-        self.assertNotIn("Authorization", seen)
+        received = repr(self.engine.seen) + repr(self.service.ran)
+        self.assertNotIn(site.KEY, received)
+        self.assertNotIn("Authorization", received)
 
     async def test_key_in_the_body_or_query_is_refused(self):
         body = await (await self.chat(user=site.KEY)).reply()
@@ -277,7 +277,7 @@
         reader, writer = await asyncio.open_connection(*address.split(":"))
         self.addCleanup(writer.close)
 
-        async def ask():
+        async def request_status():
             writer.write(
                 f"GET /v1/models HTTP/1.1\r\nHost: x\r\n"
                 f"Authorization: Bearer {site.KEY}\r\n\r\n".encode()
@@ -287,9 +287,9 @@
             await reader.readexactly(int(size))
             return int(head.split()[1])
 
-        self.assertEqual(await ask(), 200)
+        self.assertEqual(await request_status(), 200)
         await self.revoke("band-1")
-        self.assertEqual(await ask(), 401)
+        self.assertEqual(await request_status(), 401)
 
     async def test_team_can_use_only_what_its_rules_allow(self):
         reply = await (await self.chat(key=site.OTHER_KEY)).reply()
@@ -300,14 +300,14 @@
         self.assertEqual(reply.error["outcome"], "not_run")
 
     async def test_invalid_bodies_are_refused_before_credit_is_spent(self):
-        for more, part in (
+        for overrides, part in (
             ({"n": 2}, "'n' is 2"),
             ({"max_tokens": 0}, "'max_tokens'"),
             ({"messages": "x"}, "'messages'"),
             ({"stream": "yes"}, "'stream'"),
             ({"model": "brss"}, "valid: brass, horns"),
         ):
-            reply = await (await self.chat(**more)).reply()
+            reply = await (await self.chat(**overrides)).reply()
             self.assertIn(part, reply.error["message"])
             self.assertEqual(reply.error["outcome"], "not_run")
         self.assertEqual(self.engine.seen, [])
