--- a/packages/endivestream/src/endivestream/request/allowance.py
+++ b/packages/endivestream/src/endivestream/request/allowance.py
@@ -119,7 +119,7 @@
             share.refilled_at = end
 
     def refund(self, team: str, cost: float) -> None:
-        """Returns the credit of a request that has not run to the share."""
+        """Refunds the credit of a request that has not run."""
         share = self._shares.setdefault(team, _CreditShare(last_cost=cost))
         share.balance += cost
 
--- a/packages/endivestream/src/endivestream/request/attempts.py
+++ b/packages/endivestream/src/endivestream/request/attempts.py
@@ -1,7 +1,7 @@
 """Attempts of one request: consecutive tickets for places on targets.
 
 Shared by generations and service calls: the number of attempts, the backoff
-and retry budget, and the return of every ticket.
+and retry budget, and the release of every ticket.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 class Attempts:
-    """Requests and returns tickets, and decides on further attempts.
+    """Requests and releases tickets, and decides on further attempts.
 
     Attributes:
         why: Cause of the last attempt's failure; empty before the first.
@@ -95,7 +95,7 @@
             )
         except asyncio.CancelledError:
             # The ticket may be granted after the cancellation and must be
-            # returned.
+            # released.
             self.give_back(used=0)
             raise
         if isinstance(answer, messages.Refused):
@@ -117,7 +117,7 @@
     def give_back(
         self, *, used: int, failed: bool = False, answered: bool = False
     ) -> None:
-        """Returns the ticket of the current attempt."""
+        """Releases the ticket of the current attempt."""
         self._gateway.end(
             messages.Ending(
                 request=self.name,
@@ -128,16 +128,16 @@
             )
         )
 
-    async def may_retry(self, why: str, *, sent: bool) -> bool:
+    async def may_retry(self, cause: str, *, sent: bool) -> bool:
         """Returns whether to try another target, after the backoff if so."""
-        self.why = why
+        self.why = cause
         logs.warn(
             "attempt_failed",
             request=self._work.request,
             attempt=self._attempt_number,
             target=self._target,
             sent=sent,
-            why=why,
+            why=cause,
         )
         self._failed_targets.append(self._target)
         max_attempts = self._gateway.settings.requests.attempts
--- a/packages/endivestream/src/endivestream/request/buckets.py
+++ b/packages/endivestream/src/endivestream/request/buckets.py
@@ -248,7 +248,7 @@
         self._unsettled[charge.request] = charge.tokens
 
     def _spend(self, amount: int) -> None:
-        """Takes credit, or returns it if the amount is negative."""
+        """Takes credit, or refunds it if the amount is negative."""
         self._level -= amount
         self._share = min(self._share_size, self._share - amount)
         self._spent_since_proposal += amount
--- a/packages/endivestream/src/endivestream/request/relay.py
+++ b/packages/endivestream/src/endivestream/request/relay.py
@@ -145,7 +145,7 @@
     async def _run_on(
         self, ticket: messages.Ticket
     ) -> Finished | _AttemptFailed | _Rejected:
-        """Runs one attempt and returns its ticket in every case."""
+        """Runs one attempt and releases its ticket in every case."""
         tokens_before = self._tokens
         result: Finished | _AttemptFailed | _Rejected | None = None
         try:
--- a/packages/endivestream/src/endivestream/request/service_calls.py
+++ b/packages/endivestream/src/endivestream/request/service_calls.py
@@ -216,7 +216,7 @@
     async def _run_on(
         self, ticket: messages.Ticket
     ) -> Answer | exchange_lib.ExchangeError:
-        """Runs one attempt and returns its ticket in every case."""
+        """Runs one attempt and releases its ticket in every case."""
         result: Answer | exchange_lib.ExchangeError | None = None
         try:
             result = await self._run_attempt(self._attempts.name, ticket)
