--- a/packages/endivestream/src/endivestream/process/seat.py
+++ b/packages/endivestream/src/endivestream/process/seat.py
@@ -1,7 +1,8 @@
-"""A control host's side of the seat: it places models while it holds it.
+"""A control host's side of the planner lease: the holder places models.
 
-One task asks the leader, whoever that is, and takes what is new in. Orders go
-out only within the lease that the last answer gave, counted from the question.
+One task requests the lease from the current leader and applies the planner
+feed that comes with the answer. Orders are sent only while the last granted
+lease is valid, counted from the time of its request.
 """
 
 from __future__ import annotations
@@ -23,18 +24,18 @@
 from endivestream.process import site_settings
 from endivestream.version import document as document_lib
 
-# Between two questions of a host that does not hold the seat.
-_IDLE_SECONDS = 0.5
-# Before a leader that did not answer is asked again.
-_AGAIN_SECONDS = 0.05
-_ANSWER_SECONDS = 0.6
-_NOTICE_SECONDS = 1.0
+# Between two requests of a host that does not hold the lease.
+_LEASE_REQUEST_INTERVAL_SECONDS = 0.5
+# Before the next request after a leader did not answer.
+_RETRY_SECONDS = 0.05
+_ANSWER_TIMEOUT_SECONDS = 0.6
+_UPDATE_TIMEOUT_SECONDS = 1.0
 
 Call = Callable[..., Awaitable[messages.Message | None]]
 
 
 class Seat:
-    """The seat on one control host. Lives as long as the process."""
+    """Planner lease as seen by one control host, for the process's lifetime."""
 
     def __init__(
         self,
@@ -46,15 +47,17 @@
         document: Callable[[], document_lib.Document | None],
         meter: loop_meter.LoopMeter | None = None,
     ) -> None:
-        """Asks for nothing before `start`.
+        """Sends no requests before `start`.
 
         Args:
-            host: This machine, unique among all that ever held the seat.
+            host: Identity of this machine, unique among all that have ever held
+                the lease.
             settings: The host's settings.
             engines: Calls to engines.
-            call: Has the leader answer a message within so many seconds.
-            document: Returns the newest configuration held here.
-            meter: Counts what the seat costs.
+            call: Sends a message to the leader and returns the answer, or None
+                if there is none within `seconds`.
+            document: Returns the newest configuration of this host.
+            meter: Measures the event loop time spent here.
         """
         self._meter = meter or loop_meter.LoopMeter()
         self._host = host
@@ -62,21 +65,22 @@
         self._engines = engines
         self._call = call
         self._document = document
-        self._version = 0
+        self._document_version = 0
         self._position = site_messages.Position()
         self._fence = 0
         self._lease_until = float("-inf")
         self._orders_from = float("-inf")
         self._planner: planner_lib.Planner | None = None
-        self._hosts: set[str] = set()
-        # Numbers of notices go on across a restart of this process.
-        self._number = int(clock.now() * 1e6)
+        self._known_hosts: set[str] = set()
+        # Numbers of placement updates keep rising across a restart of this
+        # process.
+        self._update_number = int(clock.now() * 1e6)
         self._task: asyncio.Task[None] | None = None
-        self._telling: set[asyncio.Task[None]] = set()
+        self._background_tasks: set[asyncio.Task[None]] = set()
 
     @property
     def holds(self) -> bool:
-        """Whether this host may order now."""
+        """Whether this host may send orders now."""
         now = clock.now()
         return self._orders_from <= now < self._lease_until
 
@@ -89,32 +93,32 @@
         return self._planner.unplaced if self._planner else 0
 
     def start(self) -> None:
-        """Starts to ask for the seat."""
+        """Starts requesting the lease."""
         self._task = tasks.start(self._run(), type(self).__name__)
 
     async def close(self) -> None:
-        """Gives up; orders under way are not followed further."""
-        await tasks.cancel((self._task, *self._telling))
-        await self._leave()
+        """Stops placing models; orders in flight are not tracked further."""
+        await tasks.cancel((self._task, *self._background_tasks))
+        await self._stop_placing()
 
     async def _run(self) -> None:
         while True:
-            asked = clock.now()
+            requested_at = clock.now()
             answer = await self._call(
                 site_messages.AskSeat(host=self._host, position=self._position),
-                seconds=_ANSWER_SECONDS,
+                seconds=_ANSWER_TIMEOUT_SECONDS,
             )
             if not isinstance(answer, site_messages.ToldSeat):
-                await asyncio.sleep(_AGAIN_SECONDS)
+                await asyncio.sleep(_RETRY_SECONDS)
                 continue
             if answer.holder != self._host:
-                await self._leave()
-                await asyncio.sleep(_IDLE_SECONDS)
+                await self._stop_placing()
+                await asyncio.sleep(_LEASE_REQUEST_INTERVAL_SECONDS)
                 continue
-            await self._take(answer, asked)
+            await self._handle_lease(answer, requested_at)
 
-    async def _leave(self) -> None:
-        """Stops placing models."""
+    async def _stop_placing(self) -> None:
+        """Ends the lease on this host and closes the planner."""
         self._lease_until = float("-inf")
         self._position = site_messages.Position()
         planner, self._planner = self._planner, None
@@ -122,76 +126,78 @@
             logs.event("seat_left", fence=self._fence)
             await planner.close()
 
-    async def _take(self, answer: site_messages.ToldSeat, asked: float) -> None:
-        """Takes an answer in that gives this host the seat."""
+    async def _handle_lease(
+        self, answer: site_messages.ToldSeat, requested_at: float
+    ) -> None:
+        """Applies an answer that grants the lease to this host."""
         if self._planner is not None and answer.fence != self._fence:
-            await self._leave()
+            await self._stop_placing()
         self._fence = answer.fence
-        self._lease_until = asked + answer.seconds
+        self._lease_until = requested_at + answer.seconds
         self._orders_from = clock.now() + answer.wait
         if self._planner is None:
             logs.event("seat_taken", fence=answer.fence, wait_s=answer.wait)
-            self._planner = self._make_planner()
-            self._version = 0
-            self._hosts = set()
+            self._planner = self._create_planner()
+            self._document_version = 0
+            self._known_hosts = set()
             self._planner.start()
         planner = self._planner
         document = self._document()
-        if document is not None and document.version != self._version:
-            self._version = document.version
+        if document is not None and document.version != self._document_version:
+            self._document_version = document.version
             planner.set_document(document)
         with self._meter.span("feed"):
             if answer.fresh:
-                self._begin_anew(planner, answer.items)
+                self._start_full_feed(planner, answer.items)
             for item in answer.items:
-                self._feed(planner, item)
+                self._apply_feed_item(planner, item)
         if answer.fresh and answer.position.term != self._position.term:
-            # A new leader knows nothing of what was decided.
-            self._tell(planner.targets)
+            # A new leader has no placement updates yet.
+            self._send_placement_updates(planner.targets)
         self._position = answer.position
 
-    def _make_planner(self) -> planner_lib.Planner:
+    def _create_planner(self) -> planner_lib.Planner:
         return planner_lib.Planner(
             settings=self._settings,
             engines=self._engines,
             fence=self._fence,
             may_order=lambda: self.holds,
-            changed=self._tell,
-            sent=self._count_send,
+            changed=self._send_placement_updates,
+            sent=self._report_send,
             meter=self._meter,
         )
 
-    def _begin_anew(
+    def _start_full_feed(
         self,
         planner: planner_lib.Planner,
         items: Iterable[site_messages.Fed],
     ) -> None:
-        """Forgets the hosts that a whole feed does not name."""
-        named = {
+        """Removes hosts that are missing from a full feed."""
+        listed_hosts = {
             item.host
             for item in items
             if isinstance(item, site_messages.FedDemand)
         }
-        for host in self._hosts - named:
+        for host in self._known_hosts - listed_hosts:
             planner.forget_host(host)
-        self._hosts = named
+        self._known_hosts = listed_hosts
 
-    def _feed(
+    def _apply_feed_item(
         self, planner: planner_lib.Planner, item: site_messages.Fed
     ) -> None:
         match item:
             case site_messages.FedDemand(host=host):
-                self._hosts.add(host)
+                self._known_hosts.add(host)
                 planner.demanded(host, item.demand)
                 planner.used(host, item.uses)
                 planner.failed(host, item.failing)
             case site_messages.Missing(host=host, demand=demand):
                 planner.missing(host, demand)
             case site_messages.FedGone(host=host):
-                self._hosts.discard(host)
+                self._known_hosts.discard(host)
                 planner.forget_host(host)
-            case site_messages.FedReport(said=said):
-                planner.reported(said)
+            case site_messages.FedReport(said=registration):
+                planner.reported(registration)
             case site_messages.FedLimits(rates=rates):
                 planner.set_limits(rates)
             case site_messages.FedTargets():
@@ -199,43 +205,44 @@
                     item.names, set(item.silent), complete=item.complete
                 )
 
-    def _count_send(self, target: str) -> None:
-        """Has an order or question to a target count against its limit."""
+    def _report_send(self, target: str) -> None:
+        """Reports a request to a target, which counts against its limit."""
         self._run_in_background(
             self._call(
-                site_messages.CountSend(target=target), seconds=_NOTICE_SECONDS
+                site_messages.CountSend(target=target),
+                seconds=_UPDATE_TIMEOUT_SECONDS,
             )
         )
 
-    def _tell(self, targets: Iterable[str]) -> None:
-        """Tells the leader what was decided about targets."""
+    def _send_placement_updates(self, targets: Iterable[str]) -> None:
+        """Sends the current placement updates of targets to the leader."""
         planner = self._planner
         if planner is None:
             return
-        self._number += 1
-        notices = tuple(
+        self._update_number += 1
+        updates = tuple(
             site_messages.Notice(
                 target=target,
-                number=self._number,
+                number=self._update_number,
                 closing=planner.closing(target),
                 adapters=planner.adapters(target),
                 coming=planner.coming(target),
             )
             for target in targets
         )
-        message = site_messages.TellNotices(fence=self._fence, notices=notices)
-        self._run_in_background(self._send(message))
+        message = site_messages.TellNotices(fence=self._fence, notices=updates)
+        self._run_in_background(self._send_to_leader(message))
 
     def _run_in_background(
         self, work: Coroutine[object, object, object]
     ) -> None:
         task = tasks.start(work, "notices")
-        self._telling.add(task)
-        task.add_done_callback(self._telling.discard)
+        self._background_tasks.add(task)
+        task.add_done_callback(self._background_tasks.discard)
 
-    async def _send(self, message: site_messages.TellNotices) -> None:
-        answer = await self._call(message, seconds=_NOTICE_SECONDS)
+    async def _send_to_leader(self, message: site_messages.TellNotices) -> None:
+        answer = await self._call(message, seconds=_UPDATE_TIMEOUT_SECONDS)
         if not isinstance(answer, site_messages.Registered):
-            # Whoever leads next is told everything.
-            names = ",".join(notice.target for notice in message.notices)
+            # The next leader receives the updates of all targets.
+            names = ",".join(update.target for update in message.notices)
             logs.warn("notices_unheard", targets=names)
--- a/packages/endivestream/src/endivestream/process/site_leading.py
+++ b/packages/endivestream/src/endivestream/process/site_leading.py
@@ -1,9 +1,10 @@
-"""What the leading control host of a site does: it tells all others.
+"""Leader of a site: tables of hosts and targets, team credit, planner lease.
 
-It holds the tables of entry hosts and targets, the teams' buckets and the
-planner. All of that is soft: a new leader's tables fill from the heartbeats of
-hosts and targets, and until they are complete nobody takes them as such.
-Configuration is in the log.
+The leader holds the tables of entry hosts and targets, the teams' credit and
+the planner lease manager, and pushes table updates and configuration to entry
+hosts. The tables are soft state: those of a new leader fill from the renewals
+of entry hosts and the reports of targets, and they are marked as incomplete
+until every healthy one can have reported. The configuration is in the log.
 """
 
 from __future__ import annotations
@@ -22,13 +23,13 @@
 from endivestream import tasks
 from endivestream.connection import addresses
 from endivestream.connection import registry as registry_lib
-from endivestream.process import bank as bank_lib
 from endivestream.process import confirmations as confirmations_lib
 from endivestream.process import control as control_lib
-from endivestream.process import seat_desk
+from endivestream.process import credit_allocator as credit_allocator_lib
+from endivestream.process import planner_lease_manager
 from endivestream.process import site_settings
 from endivestream.process import steward as steward_lib
-from endivestream.process import table_news
+from endivestream.process import table_updates
 from endivestream.request import rate_limits as rate_limits_lib
 from endivestream.request import repeats as repeats_lib
 from endivestream.request import send_slots
@@ -36,45 +37,48 @@
 from endivestream.version import document as document_lib
 from endivestream.version import state as state_lib
 
-_SWEEP_SECONDS = 0.1
-# Reports that a target may miss before it counts as silent: one may be lost
-# and the next late.
-_SILENT_REPORTS = 2.5
-# A target that is silent for so long is forgotten. Long, because it may still
-# serve hosts that reach it while its reports do not reach us.
-_FORGET_SECONDS = 20.0
-# Renewals that an entry host may miss before callers are sent elsewhere.
-_SILENT_RENEWALS = 4
-# A configuration that was pushed so long ago and is not in force at the host
-# goes along with its next renewal. Before, it is on its way.
-_PUSH_SECONDS = 0.5
-# A voter that is silent for so long gives its place to a caught-up spare.
-_REPLACE_SECONDS = 1.5
+_SWEEP_INTERVAL_SECONDS = 0.1
+# A target is silent after this many report intervals without a report: one
+# report may be lost and the next one late.
+_SILENT_TARGET_INTERVALS = 2.5
+# A target without a report for this long is removed from the table. The time
+# is long because the target may still serve hosts that reach it although its
+# reports do not reach the leader.
+_TARGET_EXPIRY_SECONDS = 20.0
+# An entry host without a renewal for this many renewal intervals leaves the
+# list of hosts that callers are sent to.
+_SILENT_HOST_INTERVALS = 4
+# A pushed configuration counts as in flight for this long. After that, a host
+# that does not have it yet receives it with the answer to its next renewal.
+_PUSH_IN_FLIGHT_SECONDS = 0.5
+# A voter that is silent for this long is replaced by a learner that has caught
+# up with the log.
+_REPLACE_VOTER_SECONDS = 1.5
 
 
 @dataclasses.dataclass(kw_only=True)
-class _Session:
-    """An entry host, as the leader has it.
+class _EntryHostSession:
+    """The leader's state of one entry host.
 
     Attributes:
-        host: What it says of itself.
-        peer: Its socket's identity.
-        heard: When it renewed last.
-        position: The table that it has.
-        relay: Name of the relay that it follows, or empty.
+        host: Description of the host from its last renewal.
+        peer: Identity of the host's socket.
+        last_renewal: Time of its last renewal.
+        position: Table position that the host has reached.
+        relay: Name of the relay that the host follows, or empty.
         reported_teams: Teams named in its last renewal.
     """
 
     host: site_messages.EntryHost
     peer: bytes
-    heard: float
+    last_renewal: float
     position: site_messages.Position
     relay: str = ""
     reported_teams: frozenset[str] = frozenset()
 
 
 class SiteLeading:
-    """One term of leadership."""
+    """The leader's state and message handlers for one term of leadership."""
 
     def __init__(
         self,
@@ -86,25 +90,25 @@
         self._settings = settings
         self._meter = meter or loop_meter.LoopMeter()
         self._replicator = lead.replicator
-        self._began = clock.now()
-        self._complete = False
+        self._started_at = clock.now()
+        self._is_table_complete = False
         self._registry = registry_lib.Registry()
         for name, born in lead.replicator.state.departures.born.items():
-            self._registry.leave(name, self._began, born)
-        self._silent: set[str] = set()
-        self._sessions: dict[str, _Session] = {}
-        self._entries: tuple[site_messages.EntryHost, ...] = ()
-        self._bank = bank_lib.Bank()
-        self._repeats: dict[str, repeats_lib.SharedRepeatBudget] = {}
-        self._limits = rate_limits_lib.RateLimits()
-        self._send_slots = send_slots.SendSlots(now=self._began)
+            self._registry.leave(name, self._started_at, born)
+        self._silent_targets: set[str] = set()
+        self._sessions: dict[str, _EntryHostSession] = {}
+        self._live_hosts: tuple[site_messages.EntryHost, ...] = ()
+        self._credit_allocator = credit_allocator_lib.CreditAllocator()
+        self._retry_budgets: dict[str, repeats_lib.SharedRepeatBudget] = {}
+        self._rate_limits = rate_limits_lib.RateLimits()
+        self._send_slots = send_slots.SendSlots(now=self._started_at)
         self._steward = steward_lib.Steward(
             replicator=lead.replicator,
             wanted=settings.voters,
-            replace_seconds=_REPLACE_SECONDS,
-            superseded_seconds=_REPLACE_SECONDS,
+            replace_seconds=_REPLACE_VOTER_SECONDS,
+            superseded_seconds=_REPLACE_VOTER_SECONDS,
         )
-        self._seat = seat_desk.SeatDesk(
+        self._lease_manager = planner_lease_manager.PlannerLeaseManager(
             host=settings.machine,
             replicator=lead.replicator,
             pause=settings.bounds.lease,
@@ -113,18 +117,18 @@
         )
         self._tasks: list[asyncio.Task[None]] = []
         self._push = lead.push
-        self._pushing: set[asyncio.Task[None]] = set()
-        self._loads_pushed_at = self._began
-        self._news = table_news.TableNews(
+        self._push_tasks: set[asyncio.Task[None]] = set()
+        self._loads_pushed_at = self._started_at
+        self._table_updates = table_updates.TableUpdates(
             term=lead.replicator.term,
             push=lead.push,
             peers=lambda: [s.peer for s in self._sessions.values()],
             direct_peers=lambda: [
                 s.peer for s in self._sessions.values() if not self._relay_of(s)
             ],
-            target=self._target,
-            whole=self._whole_table,
-            limits=lambda names: self._limits.records(clock.now(), names),
+            target=self._table_entry,
+            whole=self._full_table,
+            limits=lambda names: self._rate_limits.records(clock.now(), names),
         )
         self._confirmations = confirmations_lib.Confirmations(
             lease=settings.lease_seconds,
@@ -134,7 +138,7 @@
 
     @property
     def _renew_seconds(self) -> float:
-        """Seconds between renewals of an entry host."""
+        """Interval between renewals of an entry host in seconds."""
         return self._settings.renew_seconds_for(len(self._sessions))
 
     @property
@@ -142,23 +146,23 @@
         return self._replicator.state.document.current
 
     def start(self) -> None:
-        """Takes the lead over the state as it stands."""
+        """Starts leading with the replicated state as it is now."""
         if self._document is not None:
-            self._take_document(self._document, full=False)
+            self._set_teams(self._document, full=False)
         self._steward.start()
-        self._news.start()
+        self._table_updates.start()
         self._tasks = [tasks.start(self._sweep(), "sweep")]
 
     async def close(self) -> None:
-        """Stops; what waits here ends by its own time limit."""
-        await tasks.cancel((*self._tasks, *self._pushing))
-        await self._news.close()
+        """Stops; requests that still wait end at their own deadlines."""
+        await tasks.cancel((*self._tasks, *self._push_tasks))
+        await self._table_updates.close()
         await self._steward.close()
 
     def applied(
         self, command: state_lib.Command, result: state_lib.Result
     ) -> None:
-        """Follows a commit: credit, pushes to all entry hosts."""
+        """Applies a committed configuration and pushes it to entry hosts."""
         match command, result:
             case (
                 document_lib.ApplyDocument(document=document),
@@ -170,61 +174,65 @@
                     routes=len(document.routes),
                     teams=len(document.teams),
                 )
-                self._take_document(document, full=True)
+                self._set_teams(document, full=True)
                 self._confirmations.committed(document.version, self._sessions)
-                self._news.tell_at_once(document)
+                self._table_updates.push_document(document)
 
-    def _take_document(
+    def _set_teams(
         self, document: document_lib.Document, *, full: bool
     ) -> None:
-        self._bank.set_teams(document.teams, clock.now(), full=full)
+        self._credit_allocator.set_teams(document.teams, clock.now(), full=full)
 
     async def handle(
         self, peer: bytes, message: messages.Message
     ) -> messages.Message | None:
-        """Answers a message that only the leader may answer."""
+        """Handles a message for the leader and returns the answer, if any."""
         match message:
             case site_messages.Renew():
-                return self._renew(peer, message)
-            case site_messages.AskCredit(host=host, asked=asked):
-                grants = tuple(self._grant(host, each) for each in asked)
+                return self._handle_renewal(peer, message)
+            case site_messages.AskCredit(host=host, asked=requests):
+                grants = tuple(
+                    self._grant_credit(host, request) for request in requests
+                )
                 return site_messages.GiveCredit(grants=grants)
             case site_messages.AskRepeat(service=service):
-                return self._give_repeat(service)
+                return self._grant_retry(service)
             case site_messages.AskSend():
-                return self._give_send(message)
+                return self._grant_send(message)
             case site_messages.CountSend(target=target):
-                self._count_send(target)
+                self._record_send(target)
                 return None
             case site_messages.Confirm():
-                self._note(message.host, message.version, message.position)
+                self._record_host_state(
+                    message.host, message.version, message.position
+                )
                 return None
             case site_messages.Missing():
-                self._seat.missing(message)
+                self._lease_manager.missing(message)
                 return None
             case site_messages.AskSeat():
-                return await self._seat.ask(message)
+                return await self._lease_manager.ask(message)
             case site_messages.TellNotices():
-                self._seat.told(message)
+                self._lease_manager.told(message)
                 return site_messages.Registered()
             case site_messages.Apply(document=document):
                 return await self._apply(document)
             case site_messages.AskVersion():
-                held = self._replicator.state.document
-                return site_messages.ToldVersion(version=held.version)
+                current = self._replicator.state.document
+                return site_messages.ToldVersion(version=current.version)
             case site_messages.ReadDocument():
-                held = self._document
-                source = held.source if held else b""
+                current = self._document
+                source = current.source if current else b""
                 return site_messages.DocumentRead(source=source)
-            case site_messages.Register(said=said):
-                self._register(said)
-                if said.draining:
-                    await self._wait_for_leave(said.name)
+            case site_messages.Register(said=registration):
+                self._register(registration)
+                if registration.draining:
+                    await self._wait_for_departure(registration.name)
                 else:
-                    self._confirmations.stays(said.name)
+                    self._confirmations.stays(registration.name)
                 return site_messages.Registered()
             case site_messages.Deregister(name=name):
-                await self._depart(name)
+                await self._deregister(name)
                 return site_messages.Registered()
             case messages.Join(member=member):
                 self._steward.join(member)
@@ -233,109 +241,114 @@
                 logs.warn("unexpected", message=type(message).__name__)
         return None
 
-    def _give_repeat(
+    def _grant_retry(
         self, service: str
     ) -> site_messages.GiveRepeat | messages.NotLeader:
         if not self._replicator.leads:
-            # Another leader may already grant from the same fixed number.
+            # Another leader may already grant retries from the same allowance.
             return messages.NotLeader(address="")
-        budget = self._repeats.get(service)
+        budget = self._retry_budgets.get(service)
         if budget is None:
             bounds = self._settings.bounds
-            budget = self._repeats[service] = repeats_lib.SharedRepeatBudget(
-                window=bounds.repeat_window,
-                slack=bounds.repeat_slack,
-                now=self._began,
+            budget = self._retry_budgets[service] = (
+                repeats_lib.SharedRepeatBudget(
+                    window=bounds.repeat_window,
+                    slack=bounds.repeat_slack,
+                    now=self._started_at,
+                )
             )
         granted = budget.spend(clock.now(), hosts=len(self._sessions))
         return site_messages.GiveRepeat(granted=granted)
 
-    def _give_send(
+    def _grant_send(
         self, message: site_messages.AskSend
     ) -> site_messages.GiveSend | messages.NotLeader:
         if not self._replicator.leads:
             # Another leader may already grant sends to the same target.
             return messages.NotLeader(address="")
         now = clock.now()
-        asked = message.limit
-        self._merge_limits([asked])
-        rate = self._limits.rate(asked.target, asked.born)
+        limit = message.limit
+        self._merge_rate_limits([limit])
+        rate = self._rate_limits.rate(limit.target, limit.born)
         if rate is None:
-            # It has ended, or is of another start; the push is on its way.
+            # The limit has ended, or belongs to another start of the target;
+            # the table update with this change is already in flight.
             return site_messages.GiveSend(wait=0.0)
-        given = self._send_slots.take(
-            asked.target,
-            asked.born,
+        decision = self._send_slots.take(
+            limit.target,
+            limit.born,
             rate,
             hosts=len(self._sessions),
             patience=message.patience,
             now=now,
         )
-        match given:
+        match decision:
             case send_slots.Granted(wait=wait):
                 return site_messages.GiveSend(wait=wait)
             case send_slots.Denied(seconds=seconds):
                 return site_messages.GiveSend(again=seconds)
 
-    def _count_send(self, target: str) -> None:
+    def _record_send(self, target: str) -> None:
         born = self._registry.born(target)
-        rate = None if born is None else self._limits.rate(target, born)
+        rate = None if born is None else self._rate_limits.rate(target, born)
         if rate is not None:
             self._send_slots.spent(target, born, rate, clock.now())
 
-    def _merge_limits(self, limits: Iterable[site_messages.RateLimit]) -> None:
-        """Takes in what entry hosts know of targets' limits."""
+    def _merge_rate_limits(
+        self, limits: Iterable[site_messages.RateLimit]
+    ) -> None:
+        """Merges targets' rate limits as reported by entry hosts."""
         current = [
             limit
             for limit in limits
             if limit.born >= (self._registry.born(limit.target) or 0)
         ]
-        changed = self._limits.merge(current, clock.now())
+        changed = self._rate_limits.merge(current, clock.now())
         if not changed:
             return
         for name in changed:
-            rate = self._limits.rates.get(name)
+            rate = self._rate_limits.rates.get(name)
             logs.event(
                 "rate_limit",
                 target=name,
                 rate="none" if rate is None else rate,
                 told_by="host",
             )
-        self._seat.set_limits(self._limits.rates)
-        # A target that has not reported to this leader yet would be told as
-        # gone.
-        known = [name for name in changed if self._registry.find(name)]
-        if known:
-            self._news.note_targets(known)
-
-    def _grant(
-        self, host: str, asked: site_messages.CreditAsk
+        self._lease_manager.set_limits(self._rate_limits.rates)
+        # For a target that has not reported to this leader yet, the update
+        # would list it as removed.
+        reported = [name for name in changed if self._registry.find(name)]
+        if reported:
+            self._table_updates.record_targets(reported)
+
+    def _grant_credit(
+        self, host: str, request: site_messages.CreditAsk
     ) -> site_messages.Grant:
-        need = asked.need
-        grant = self._bank.ask(
+        need = request.need
+        grant = self._credit_allocator.ask(
             host,
             need,
             clock.now(),
-            soon=asked.soon,
-            patience=asked.patience,
+            soon=request.soon,
+            patience=request.patience,
         )
         if grant is None:
-            # This leader has no such limit (yet): nothing is short.
+            # This leader has no limit for the team (yet): credit is not short.
             grant = site_messages.Grant(need.team, need.wanted, 0.0, 0.0)
         return grant
 
     async def _apply(
         self, document: document_lib.Document
     ) -> site_messages.Applied:
-        held = self._replicator.state.document
-        version = held.version
+        document_state = self._replicator.state.document
+        version = document_state.version
         if document.version > version:
             result = await self._replicator.propose(
                 document_lib.ApplyDocument(document=document)
             )
             assert isinstance(result, document_lib.DocumentApplied), result
             version = result.version
-        # Otherwise committed already, or overtaken: nothing to write.
+        # Otherwise this version or a newer one is committed already.
         await self._confirmations.wait_for_configuration(
             bound=self._settings.bounds.config
         )
@@ -343,87 +356,101 @@
 
     # Targets.
 
-    async def _depart(self, name: str) -> None:
-        """Tells entry hosts that a target leaves, then commits it.
+    async def _deregister(self, name: str) -> None:
+        """Notifies entry hosts that a target departs and commits that.
 
-        Entry hosts may know it from the leader before, so they are told also
-        where this one has not heard of it.
+        Entry hosts may know the target from the previous leader, so they are
+        notified even if it has not reported to this leader.
         """
         born = self._registry.born(name)
-        known = self._registry.leave(name, clock.now())
-        logs.event("target_left", target=name, born=born, known=known)
+        was_known = self._registry.leave(name, clock.now())
+        logs.event(
+            "target_deregistered", target=name, born=born, known=was_known
+        )
         self._targets_changed([name])
         await self._replicator.propose(
             departures_lib.Depart(name=name, born=born)
         )
-        await self._wait_for_leave(name)
+        await self._wait_for_departure(name)
 
-    async def _wait_for_leave(self, name: str) -> None:
+    async def _wait_for_departure(self, name: str) -> None:
         await self._confirmations.wait_for_leave(
-            name, self._news.position, bound=self._settings.bounds.drain
+            name,
+            self._table_updates.position,
+            bound=self._settings.bounds.drain,
         )
 
-    def _register(self, said: registry_lib.Registration) -> None:
+    def _register(self, registration: registry_lib.Registration) -> None:
         now = clock.now()
-        known = self._registry.find(said.name)
-        changed = self._registry.note(said, now)
+        previous = self._registry.find(registration.name)
+        changed = self._registry.note(registration, now)
         if not changed:
             return
-        self._seat.reported(said)
-        if self._limits.forget_before(said.name, said.born):
-            self._seat.set_limits(self._limits.rates)
-        if said.name in self._silent:
-            self._silent.discard(said.name)
-        elif known is not None and _same(known.said, said):
-            changed.remove(said.name)
-        if known is None or known.said.draining != said.draining:
+        self._lease_manager.reported(registration)
+        if self._rate_limits.forget_before(
+            registration.name, registration.born
+        ):
+            self._lease_manager.set_limits(self._rate_limits.rates)
+        if registration.name in self._silent_targets:
+            self._silent_targets.discard(registration.name)
+        elif previous is not None and _is_same_for_hosts(
+            previous.said, registration
+        ):
+            changed.remove(registration.name)
+        if previous is None or previous.said.draining != registration.draining:
             logs.event(
                 "target",
-                target=said.name,
-                service=said.service,
-                address=said.address,
-                draining=said.draining,
-                models=",".join(loaded.model for loaded in said.loaded),
-                in_memory=",".join(said.in_memory),
-                on_disk=",".join(said.on_disk),
+                target=registration.name,
+                service=registration.service,
+                address=registration.address,
+                draining=registration.draining,
+                models=",".join(loaded.model for loaded in registration.loaded),
+                in_memory=",".join(registration.in_memory),
+                on_disk=",".join(registration.on_disk),
             )
         if changed:
             self._targets_changed(changed)
 
-    def _target(self, name: str) -> site_messages.Target | None:
+    def _table_entry(self, name: str) -> site_messages.Target | None:
         session = self._registry.find(name)
         if session is None:
             return None
         # Only placement uses the location of weights; leaving it out makes
         # pushes smaller.
-        said = msgspec.structs.replace(session.said, in_memory=(), on_disk=())
-        notice = self._seat.notice(said.name)
+        registration = msgspec.structs.replace(
+            session.said, in_memory=(), on_disk=()
+        )
+        placement_update = self._lease_manager.notice(registration.name)
         return site_messages.Target(
-            said=said,
-            closing=notice.closing,
-            adapters=notice.adapters,
-            silent=said.name in self._silent,
-            coming=notice.coming,
+            said=registration,
+            closing=placement_update.closing,
+            adapters=placement_update.adapters,
+            silent=registration.name in self._silent_targets,
+            coming=placement_update.coming,
         )
 
     def _targets_changed(self, names: Iterable[str]) -> None:
-        """Has everyone told of a change of some targets."""
+        """Records changes of some targets for entry hosts and the planner."""
         names = list(names)
-        self._silent -= {n for n in names if self._registry.find(n) is None}
-        self._seat.set_targets(self._silent, complete=self._complete)
-        self._news.note_targets(names)
+        self._silent_targets -= {
+            n for n in names if self._registry.find(n) is None
+        }
+        self._lease_manager.set_targets(
+            self._silent_targets, complete=self._is_table_complete
+        )
+        self._table_updates.record_targets(names)
 
-    def _whole_table(self) -> table_news.Table:
-        targets = map(self._target, self._registry.sessions)
-        return table_news.Table(
+    def _full_table(self) -> table_updates.Table:
+        targets = map(self._table_entry, self._registry.sessions)
+        return table_updates.Table(
             targets=tuple(t for t in targets if t is not None),
             gone=self._registry.departed,
-            complete=self._complete,
+            complete=self._is_table_complete,
         )
 
     # Entry hosts.
 
-    def _renew(
+    def _handle_renewal(
         self, peer: bytes, message: site_messages.Renew
     ) -> site_messages.Renewed | messages.NotLeader:
         now = clock.now()
@@ -439,112 +466,122 @@
             )
         reported_teams = frozenset(need.team for need in message.needs)
         if session is not None:
-            self._bank.forget_teams(
+            self._credit_allocator.clear_teams(
                 host.name, session.reported_teams - reported_teams
             )
-        self._sessions[host.name] = _Session(
+        self._sessions[host.name] = _EntryHostSession(
             host=host,
             peer=peer,
-            heard=now,
+            last_renewal=now,
             position=message.position,
             relay=message.relay,
             reported_teams=reported_teams,
         )
-        self._note(host.name, message.version, message.position)
-        # Before anything is pushed to this host: it may know of limits that
-        # only the leader before was told of.
-        self._merge_limits(message.limits)
-        self._seat.renewed(message)
+        self._record_host_state(host.name, message.version, message.position)
+        # Before anything is pushed to this host: it may have limits that were
+        # reported only to the previous leader.
+        self._merge_rate_limits(message.limits)
+        self._lease_manager.renewed(message)
         grants = [
-            self._bank.report(host.name, need, now) for need in message.needs
+            self._credit_allocator.report(host.name, need, now)
+            for need in message.needs
         ]
-        was_pushed_to = session is not None and session.peer == peer
-        return self._renewed(message, grants, was_pushed_to=was_pushed_to)
+        had_session = session is not None and session.peer == peer
+        return self._renewal_answer(message, grants, had_session=had_session)
 
-    def _renewed(
+    def _renewal_answer(
         self,
         message: site_messages.Renew,
         grants: list[site_messages.Grant | None],
         *,
-        was_pushed_to: bool,
+        had_session: bool,
     ) -> site_messages.Renewed | messages.NotLeader:
         if not self._replicator.leads:
-            # Another may lead and have accepted a newer configuration.
+            # Another leader may have committed a newer configuration.
             return messages.NotLeader(address="")
         document = self._document
         version = document.version if document else 0
-        news = self._news.since(message.position)
+        update = self._table_updates.since(message.position)
         since_push = clock.now() - self._confirmations.rollout_begun
-        is_coming = was_pushed_to and since_push < _PUSH_SECONDS
-        if message.version < version and not is_coming:
+        is_push_in_flight = had_session and since_push < _PUSH_IN_FLIGHT_SECONDS
+        if message.version < version and not is_push_in_flight:
             position = message.position
-            news = news or site_messages.News(position=position, after=position)
-            news = msgspec.structs.replace(news, document=document)
+            update = update or site_messages.News(
+                position=position, after=position
+            )
+            update = msgspec.structs.replace(update, document=document)
         members = self._replicator.replica.members.all
         controls = tuple(member.address for member in members)
         if addresses.digest(controls) == message.controls:
             controls = ()
         is_relayed = self._relay_of(self._sessions[message.host.name])
-        loads = None if is_relayed else self._seat.loads(message.host.name)
+        loads = (
+            None if is_relayed else self._lease_manager.loads(message.host.name)
+        )
         return site_messages.Renewed(
             seconds=self._settings.lease_seconds,
             version=version,
-            news=news,
+            news=update,
             grants=tuple(grant for grant in grants if grant is not None),
             controls=controls,
             loads=loads,
             every=self._renew_seconds,
         )
 
-    def _relay_of(self, session: _Session) -> str:
+    def _relay_of(self, session: _EntryHostSession) -> str:
         """Returns the relay that a host receives pushes from, or empty.
 
-        A host that has stopped renewing, or that follows another one, does
-        not count as a relay: it forwards nothing.
+        A host that has stopped renewing, or that follows another relay, does
+        not count as a relay, because it forwards nothing.
         """
         relay = self._sessions.get(session.relay)
         if relay is None or relay.relay:
             return ""
-        silence = _SILENT_RENEWALS * self._renew_seconds
-        return session.relay if clock.now() - relay.heard <= silence else ""
+        silence = _SILENT_HOST_INTERVALS * self._renew_seconds
+        return (
+            session.relay if clock.now() - relay.last_renewal <= silence else ""
+        )
 
-    def _note(
+    def _record_host_state(
         self, host: str, version: int, position: site_messages.Position
     ) -> None:
-        """Notes what an entry host acts on."""
+        """Records the configuration and table position that a host uses."""
         session = self._sessions.get(host)
         if session is not None:
             session.position = max(session.position, position)
         self._confirmations.confirmed(host, version)
 
-    def _refresh_entries(self, now: float) -> None:
-        """Has everyone told when the entry hosts are others than before."""
-        silence = _SILENT_RENEWALS * self._renew_seconds
-        live = tuple(
+    def _update_live_hosts(self, now: float) -> None:
+        """Records a table change if the set of live entry hosts changed."""
+        silence = _SILENT_HOST_INTERVALS * self._renew_seconds
+        live_hosts = tuple(
             session.host
             for _, session in sorted(self._sessions.items())
-            if now - session.heard <= silence
+            if now - session.last_renewal <= silence
         )
-        if self._complete and live != self._entries:
-            self._entries = live
-            self._news.note_entries(live)
+        if self._is_table_complete and live_hosts != self._live_hosts:
+            self._live_hosts = live_hosts
+            self._table_updates.record_entry_hosts(live_hosts)
 
-    # Time.
+    # Periodic work.
 
     async def _sweep(self) -> None:
         while True:
-            await asyncio.sleep(_SWEEP_SECONDS)
+            await asyncio.sleep(_SWEEP_INTERVAL_SECONDS)
             with self._meter.span("sweep"):
                 self._sweep_once(clock.now())
 
     def _sweep_once(self, now: float) -> None:
-        self._forget_hosts(now)
-        self._note_silence(now)
-        if not self._complete and now - self._began > self._settle_seconds:
-            self._complete = True
-            self._news.note_whole()
-            self._seat.set_targets(self._silent, complete=True)
-        self._refresh_entries(now)
+        self._expire_hosts(now)
+        self._update_silent_targets(now)
+        if (
+            not self._is_table_complete
+            and now - self._started_at > self._table_completion_seconds
+        ):
+            self._is_table_complete = True
+            self._table_updates.require_full_table()
+            self._lease_manager.set_targets(self._silent_targets, complete=True)
+        self._update_live_hosts(now)
         self._push_loads(now)
 
     def _push_loads(self, now: float) -> None:
@@ -555,49 +592,52 @@
         names = {self._relay_of(s) for s in self._sessions.values()}
         peers = [self._sessions[name].peer for name in names if name]
         if peers:
-            loads = site_messages.Loads(loads=self._seat.all_loads())
+            loads = site_messages.Loads(loads=self._lease_manager.all_loads())
             task = tasks.start(self._push(peers, loads), "push_loads")
-            self._pushing.add(task)
-            task.add_done_callback(self._pushing.discard)
+            self._push_tasks.add(task)
+            task.add_done_callback(self._push_tasks.discard)
 
     @property
-    def _settle_seconds(self) -> float:
-        """After so long every sound host and target has been heard of."""
+    def _table_completion_seconds(self) -> float:
+        """Time after which every healthy host and target has reported."""
         return 1.5 * self._settings.report + self._settings.renew_seconds
 
-    def _forget_hosts(self, now: float) -> None:
+    def _expire_hosts(self, now: float) -> None:
         for name, session in list(self._sessions.items()):
-            if now - session.heard > self._settings.lease_seconds:
+            if now - session.last_renewal > self._settings.lease_seconds:
                 del self._sessions[name]
                 self._confirmations.forget_host(name)
-                self._bank.forget(name)
-                self._seat.forget_host(name)
-                logs.warn("entry_host_gone", peer=name)
+                self._credit_allocator.forget(name)
+                self._lease_manager.forget_host(name)
+                logs.warn("entry_host_expired", peer=name)
 
-    def _note_silence(self, now: float) -> None:
-        silence = _SILENT_REPORTS * self._settings.report
-        changed = self._registry.expire(now, silence=_FORGET_SECONDS)
+    def _update_silent_targets(self, now: float) -> None:
+        silence = _SILENT_TARGET_INTERVALS * self._settings.report
+        changed = self._registry.expire(now, silence=_TARGET_EXPIRY_SECONDS)
         sessions = self._registry.sessions
-        known = {*sessions, *self._registry.departed}
-        self._news.forget_all_but(known)
-        self._confirmations.forget_all_but(known)
-        self._limits.forget(sessions.keys(), now)
-        self._send_slots.forget(self._limits.rates)
+        known_names = {*sessions, *self._registry.departed}
+        self._table_updates.forget_all_but(known_names)
+        self._confirmations.forget_all_but(known_names)
+        self._rate_limits.forget(sessions.keys(), now)
+        self._send_slots.forget(self._rate_limits.rates)
         for name, session in sessions.items():
-            if now - session.heard > silence and name not in self._silent:
+            if (
+                now - session.heard > silence
+                and name not in self._silent_targets
+            ):
                 logs.warn("target_silent", target=name)
-                self._silent.add(name)
+                self._silent_targets.add(name)
                 changed.append(name)
         if changed:
             self._targets_changed(changed)
 
 
-def _same(
+def _is_same_for_hosts(
     before: registry_lib.Registration, after: registry_lib.Registration
 ) -> bool:
-    """Whether a report says nothing that entry hosts act on."""
+    """Whether two registrations differ in nothing that entry hosts use."""
     ignored = {"number": 0, "warm_in": 0.0, "in_memory": (), "on_disk": ()}
-    same = msgspec.structs.replace(
+    is_same = msgspec.structs.replace(
         before, **ignored
     ) == msgspec.structs.replace(after, **ignored)
-    return same and (before.warm_in > 0) == (after.warm_in > 0)
+    return is_same and (before.warm_in > 0) == (after.warm_in > 0)
--- a/tests/test_credit_portions.py
+++ b/tests/test_credit_portions.py
@@ -3,7 +3,7 @@
 import unittest
 
 from endivestream import site_messages
-from endivestream.process import bank as bank_lib
+from endivestream.process import credit_allocator as credit_allocator_lib
 from endivestream.request import allowance as allowance_lib
 from endivestream.request import repeats
 from endivestream.version import document as document_lib
@@ -28,7 +28,7 @@
 
     def __init__(self, hosts):
         self.now = 100.0
-        self.bank = bank_lib.Bank()
+        self.bank = credit_allocator_lib.CreditAllocator()
         self.bank.set_teams((team(),), self.now, full=True)
         self.hosts = {f"h{n}": allowance_lib.Allowance() for n in range(hosts)}
         self.cut = set()
@@ -38,7 +38,7 @@
         self.refused = 0
 
     def lead_anew(self):
-        self.bank = bank_lib.Bank()
+        self.bank = credit_allocator_lib.CreditAllocator()
         self.bank.set_teams((team(),), self.now, full=False)
         self.named = {}
 
@@ -48,7 +48,7 @@
         if host in self.cut or self.bank is None:
             return
         named = {need.team for need in needs}
-        self.bank.forget_teams(host, self.named.get(host, set()) - named)
+        self.bank.clear_teams(host, self.named.get(host, set()) - named)
         self.named[host] = named
         grants = [self.bank.report(host, need, self.now) for need in needs]
         if lost:
@@ -133,7 +133,7 @@
 
 class LineTest(unittest.TestCase):
     def setUp(self):
-        self.bank = bank_lib.Bank()
+        self.bank = credit_allocator_lib.CreditAllocator()
         self.bank.set_teams((team(),), 0.0, full=False)
 
     def ask(self, now, *, soon=0.2, patience=2.0, cost=COST, host="h0"):
@@ -210,7 +210,7 @@
 
     def test_credit_for_small_requests_is_no_extra_credit(self):
         """What is saved up for them counts into rate and burst."""
-        bank = bank_lib.Bank()
+        bank = credit_allocator_lib.CreditAllocator()
         bank.set_teams((team(),), 0.0, full=True)
         given = 0.0
         for tick in range(100):
@@ -235,7 +235,7 @@
     )
     def test_no_window_of_promises_is_above_rate_and_burst(self, asked):
         """Whatever is asked, what may be spent by then is backed by refill."""
-        bank = bank_lib.Bank()
+        bank = credit_allocator_lib.CreditAllocator()
         bank.set_teams((team(),), 0.0, full=True)
         now, due = 0.0, []
         for pause, cost, patience in asked:
@@ -382,7 +382,7 @@
 
     def test_a_new_leader_gives_out_no_burst(self):
         """What the old leader gave out may still be spent."""
-        bank = bank_lib.Bank()
+        bank = credit_allocator_lib.CreditAllocator()
         bank.set_teams((team(),), 0.0, full=False)
         need = site_messages.Need("band", 0.0, 0.0, COST)
         grant = bank.ask("h0", need, 0.0)
@@ -394,7 +394,7 @@
 
         A host takes a portion; the bucket does not fill up beside it.
         """
-        bank = bank_lib.Bank()
+        bank = credit_allocator_lib.CreditAllocator()
         bank.set_teams((team(),), 0.0, full=True)
         bank.report("h0", site_messages.Need("band", 0, 0, 700.0), 0.0)
         bank.report("h0", site_messages.Need("band", 0, 700.0, 700.0), 60.0)
--- a/tests/test_limited_hosts.py
+++ b/tests/test_limited_hosts.py
@@ -329,13 +329,13 @@
             await asyncio.sleep(1.0)
             await site.hosts[0].send()
             await asyncio.sleep(1.0)
-            before = dict(site.leading._limits.rates)
+            before = dict(site.leading._rate_limits.rates)
             site.target.born += 1
             await site.report()
             late = site_messages.RateLimit("t1", 1, 1.5, 0.0)
-            site.leading._merge_limits([late])
-            after = dict(site.leading._limits.rates)
-            fed = site.leading._seat._limits.rates
+            site.leading._merge_rate_limits([late])
+            after = dict(site.leading._rate_limits.rates)
+            fed = site.leading._lease_manager._rate_limits.rates
             await site.close()
             return before, after, fed
 
@@ -358,7 +358,7 @@
             await site.lose_leader(0.5)
             await asyncio.sleep(6.0)
             after = [host.limits.rate("t1", 1) for host in site.hosts]
-            table = site.leading._limits.rates
+            table = site.leading._rate_limits.rates
             await site.close()
             return known, after, table
 
--- a/tests/test_seat.py
+++ b/tests/test_seat.py
@@ -11,8 +11,8 @@
 from endivestream import clock
 from endivestream import site_messages
 from endivestream.connection import registry as registry_lib
+from endivestream.process import planner_lease_manager
 from endivestream.process import seat as seat_lib
-from endivestream.process import seat_desk
 from endivestream.version import members as members_lib
 from endivestream.version import seat as record_lib
 from endivestream.version import state as state_lib
@@ -46,7 +46,9 @@
         patch = mock.patch.object(clock, "now", lambda: self.now)
         patch.start()
         self.addCleanup(patch.stop)
-        poll = mock.patch.object(seat_desk, "_POLL_SECONDS", 0.0)
+        poll = mock.patch.object(
+            planner_lease_manager, "_POLL_TIMEOUT_SECONDS", 0.0
+        )
         poll.start()
         self.addCleanup(poll.stop)
         self.log = Log()
@@ -56,7 +58,7 @@
 
     def _lead(self, host):
         self.log.term += 1
-        return seat_desk.SeatDesk(
+        return planner_lease_manager.PlannerLeaseManager(
             host=host,
             replicator=self.log,
             pause=PAUSE,
@@ -189,7 +191,7 @@
         )
         self.sessions["t1"] = registry_lib.Session(said, 0.0)
         told = await self._ask("m1")
-        for _ in range(seat_desk._MOST_ITEMS + 1):
+        for _ in range(planner_lease_manager._MAX_FEED_ITEMS + 1):
             self.desk.missing(site_messages.Missing(host="e1", demand=()))
         told = await self._ask("m1", told.position)
         self.assertTrue(told.fresh)
@@ -351,7 +353,9 @@
         self.now = 0.0
         with (
             mock.patch.object(clock, "now", lambda: self.now),
-            mock.patch.object(seat_desk, "_POLL_SECONDS", 0.0),
+            mock.patch.object(
+                planner_lease_manager, "_POLL_TIMEOUT_SECONDS", 0.0
+            ),
         ):
             log = Log()
             hosts = [Host(f"m{n}", self) for n in range(3)]
@@ -380,7 +384,7 @@
                     self.assertGreaterEqual(self.now - at, PAUSE)
 
     def _lead(self, log, host):
-        return seat_desk.SeatDesk(
+        return planner_lease_manager.PlannerLeaseManager(
             host=host,
             replicator=log,
             pause=PAUSE,
--- a/tests/test_table_news.py
+++ b/tests/test_table_news.py
@@ -7,7 +7,7 @@
 from endivestream import site_messages
 from endivestream.connection import registry as registry_lib
 from endivestream.process import entry as entry_lib
-from endivestream.process import table_news
+from endivestream.process import table_updates
 from endivestream.request import names as names_lib
 import hypothesis
 from hypothesis import strategies as st
@@ -40,13 +40,13 @@
         self.held = {}
         self.number = 0
         self.pushed = []
-        self.news = table_news.TableNews(
+        self.news = table_updates.TableUpdates(
             term=term,
             push=self._push,
             peers=lambda: [b"e0"],
             direct_peers=lambda: [b"e0"],
             target=self.held.get,
-            whole=lambda: table_news.Table(
+            whole=lambda: table_updates.Table(
                 targets=tuple(self.held.values()), gone=(), complete=True
             ),
             limits=lambda names: (),
@@ -62,7 +62,7 @@
             self.held.pop(name, None)
         else:
             self.held[name] = target(name, self.number)
-        self.news.note_targets([name])
+        self.news.record_targets([name])
 
 
 class TableNewsTest(unittest.TestCase):
@@ -105,10 +105,10 @@
                     # The answer overtakes what is still on its way.
                     self._renew(leader, entry)
                 case "whole":
-                    leader.news.note_whole()
+                    leader.news.require_full_table()
                 case "document":
                     version += 1
-                    leader.news.tell_at_once(test_document.document(version))
+                    leader.news.push_document(test_document.document(version))
                 case "elect":
                     await leader.news.close()
                     after = Leader(term=leader.news.position.term + 1)
