--- a/packages/endivestream/src/endivestream/process/leading.py
+++ b/packages/endivestream/src/endivestream/process/leading.py
@@ -1,7 +1,7 @@
-"""What a control host does while it leads: leases, limits, places, orders.
+"""Leader of the control hosts: leases, rate limits, scheduling, placement.
 
-Its tables are soft: a new leader starts with empty ones, which fill from
-renewals and reports. Teams' credit goes on from the level in the log.
+Its tables are soft state: those of a new leader start empty and fill from
+renewals and reports. Teams' credit continues from the level in the log.
 """
 
 from __future__ import annotations
@@ -31,18 +31,18 @@
 from endivestream.version import state as state_lib
 from endivestream.version import watchers as watchers_lib
 
-# How often answers of calls that outlived their time are dropped.
-_EXPIRE_SECONDS = 60.0
+# Interval between removals of stored answers whose time has expired.
+_EXPIRE_CALLS_INTERVAL_SECONDS = 60.0
 
 
 class Leading:
-    """One term of leadership.
+    """The leader's state and message handlers for one term of leadership.
 
     Attributes:
-        limiter: The teams' credit.
-        dispatcher: Targets and places on them.
-        placer: Placement.
-        watchers: Leases of gateways.
+        limiter: Token buckets of the teams.
+        dispatcher: Target table and scheduler.
+        placer: Placement of models on targets.
+        watchers: Configuration leases of gateways.
     """
 
     def __init__(
@@ -58,8 +58,8 @@
         self._settings = settings
         self._replicator = replicator
         self._push = push
-        self._credit_heard = credit_heard
-        self.limiter = limiter_lib.Limiter(set_aside=self._set_aside)
+        self._credit_received_at = credit_heard
+        self.limiter = limiter_lib.Limiter(reserve_credit=self._reserve_credit)
         self.dispatcher = dispatcher_lib.Dispatcher(
             silence_seconds=timing.target_silence_seconds,
             settle_seconds=1.5 * timing.report_seconds,
@@ -83,12 +83,12 @@
             now=time.monotonic(),
         )
         self._tasks: list[asyncio.Task[None]] = []
-        self._pushing: set[asyncio.Task[None]] = set()
+        self._push_tasks: set[asyncio.Task[None]] = set()
 
     def start(self) -> None:
-        """Takes the lead over the state as it stands."""
+        """Starts leading with the replicated state as it is now."""
         teams = dict(self._replicator.state.configuration.rules.teams)
-        self.limiter.set_teams(teams, levels=self._levels(teams))
+        self.limiter.set_teams(teams, levels=self._initial_levels(teams))
         self.dispatcher.set_teams(teams)
         self.dispatcher.start()
         self.placer.start()
@@ -96,29 +96,38 @@
         self._tasks = [asyncio.create_task(self._sweep())]
 
     async def close(self) -> None:
-        """Stops; what waits here ends by its own time limit."""
-        await tasks.cancel((*self._tasks, *self._pushing))
+        """Stops; requests that still wait end at their own deadlines."""
+        await tasks.cancel((*self._tasks, *self._push_tasks))
         await self.steward.close()
         await self.placer.close()
         await self.dispatcher.close()
         await self.limiter.close()
 
-    def _levels(self, teams: dict[str, rules_lib.Team]) -> dict[str, int]:
-        """Returns what each team surely has, in millionths of a token.
+    def _initial_levels(
+        self, teams: dict[str, rules_lib.Team]
+    ) -> dict[str, int]:
+        """Returns the minimum credit of each team in millionths of a token.
 
-        The log's level, and the refill since this replica heard of it: it
-        heard after the old leader proposed, so this is never too much.
+        This is the level in the log plus the refill since this replica received
+        that level. It was received after the previous leader proposed it, so
+        the result is never too high.
         """
         now = time.monotonic()
-        known = self._replicator.state.credit.levels
+        committed = self._replicator.state.credit.levels
         levels = {}
-        for name in known.keys() & teams.keys() & self._credit_heard.keys():
-            seconds = now - self._credit_heard[name]
-            refilled = known[name].rest + int(teams[name].rate * seconds * 1e6)
-            levels[name] = min(refilled, known[name].most)
+        for name in (
+            committed.keys() & teams.keys() & self._credit_received_at.keys()
+        ):
+            seconds = now - self._credit_received_at[name]
+            refilled = committed[name].rest + int(
+                teams[name].rate * seconds * 1e6
+            )
+            levels[name] = min(refilled, committed[name].most)
         return levels
 
-    async def _set_aside(self, levels: dict[str, credit_lib.Level]) -> bool:
+    async def _reserve_credit(
+        self, levels: dict[str, credit_lib.Level]
+    ) -> bool:
         try:
             result = await self._replicator.propose(
                 credit_lib.SetAside(term=self._replicator.term, levels=levels)
@@ -130,31 +139,33 @@
         )
 
     async def _sweep(self) -> None:
-        expire_at = time.monotonic() + _EXPIRE_SECONDS
+        expire_at = time.monotonic() + _EXPIRE_CALLS_INTERVAL_SECONDS
         while True:
             await asyncio.sleep(self._settings.timing.watch_seconds)
             now = time.monotonic()
             self.watchers.refresh(now)
             for host in self.watchers.forget(now):
-                # Its process may hang and come back; its places are free for
-                # others now.
-                freed = self.dispatcher.release_host(host.name)
-                logs.warn("host_gone", peer=host.name, places_freed=freed)
+                # The host's process may hang and recover later; its slots are
+                # released for other hosts now.
+                released = self.dispatcher.release_host(host.name)
+                logs.warn(
+                    "host_expired", peer=host.name, slots_released=released
+                )
             with contextlib.suppress(
                 replicate.NotLeaderError, replicate.LostError, OSError
             ):
-                await self._abandon_calls_of_gone(now)
+                await self._abandon_calls_of_expired_hosts(now)
                 if now > expire_at and len(self._replicator.state.calls):
-                    expire_at = now + _EXPIRE_SECONDS
+                    expire_at = now + _EXPIRE_CALLS_INTERVAL_SECONDS
                     await self._replicator.propose(
                         calls_lib.ExpireCalls(now=time.time())
                     )
 
-    async def _abandon_calls_of_gone(self, now: float) -> None:
-        """Has calls of hosts that went for good end as unknown.
+    async def _abandon_calls_of_expired_hosts(self, now: float) -> None:
+        """Ends calls of permanently departed hosts with an unknown outcome.
 
-        The host may be cut off and its call may still run: "unknown" is true
-        either way, and its answer, should it come, still replaces it.
+        The host may only be unreachable and its call may still run: "unknown"
+        is correct in both cases, and a later answer still replaces it.
         """
         running = list(self._replicator.state.calls.running_hosts)
         for name, incarnation in running:
@@ -167,7 +178,7 @@
     def applied(
         self, command: state_lib.Command, result: state_lib.Result
     ) -> None:
-        """Follows a commit: limits, weights, pushes to all gateways."""
+        """Applies a committed configuration and notifies all gateways."""
         if not isinstance(result, configuration_lib.Applied):
             return
         if isinstance(command, configuration_lib.ApplyRules):
@@ -181,12 +192,12 @@
             author=getattr(command, "author", ""),
             repeated=result.repeated,
         )
-        task = asyncio.create_task(self._push_change())
-        self._pushing.add(task)
-        task.add_done_callback(self._pushing.discard)
+        task = asyncio.create_task(self._push_version())
+        self._push_tasks.add(task)
+        task.add_done_callback(self._push_tasks.discard)
 
-    async def _push_change(self) -> None:
-        """Tells every watcher that there is news; each then watches."""
+    async def _push_version(self) -> None:
+        """Pushes the current version; each gateway then renews its lease."""
         now = time.monotonic()
         push = messages.Lease(
             update=None,
@@ -200,22 +211,22 @@
     async def handle(
         self, peer: bytes, message: messages.Message
     ) -> messages.Message | None:
-        """Answers a message that only the leader may answer."""
+        """Handles a message for the leader and returns the answer, if any."""
         match message:
             case messages.Watch():
-                return await self._watch(peer, message)
+                return await self._renew_lease(peer, message)
             case messages.Charge():
                 return await self.limiter.charge(message)
-            case messages.Endings(endings=endings):
-                for ending in endings:
-                    self.limiter.settle(ending)
-                    self.dispatcher.release(ending)
+            case messages.Endings(endings=completions):
+                for completion in completions:
+                    self.limiter.settle(completion)
+                    self.dispatcher.release(completion)
                 return messages.Noted()
             case messages.AskTicket():
                 return await self.dispatcher.ask(message)
             case messages.Announce(info=info):
-                refused = self.dispatcher.announce(info)
-                return messages.Known(unknown=[], reason=refused)
+                refusal = self.dispatcher.announce(info)
+                return messages.Known(unknown=[], reason=refusal)
             case messages.Report(reports=reports):
                 unknown = self.dispatcher.report(reports)
                 return messages.Known(unknown=unknown)
@@ -226,53 +237,53 @@
                 reason = self.steward.remove(name)
                 return messages.Known(unknown=[], reason=reason)
             case messages.DrainTarget(name=name, draining=draining):
-                return self._drain(name, draining)
+                return self._drain_target(name, draining)
             case _:
                 logs.warn("unexpected", message=type(message).__name__)
         return None
 
-    def _drain(self, name: str, draining: bool) -> messages.Known:
+    def _drain_target(self, name: str, draining: bool) -> messages.Known:
         reason = ""
         if not self.dispatcher.drain(name, draining):
-            valid = self.dispatcher.targets.sessions
-            reason = findings.unknown_word("target", name, valid)
+            known_targets = self.dispatcher.targets.sessions
+            reason = findings.unknown_word("target", name, known_targets)
         return messages.Known(unknown=[], reason=reason)
 
-    async def _watch(
+    async def _renew_lease(
         self, peer: bytes, message: messages.Watch
     ) -> messages.Message | None:
         now = time.monotonic()
         previous = self.watchers.find(message.host.name)
         if not self.watchers.renew(message.host, peer, message.have, now):
             logs.warn(
-                "two_hosts_one_name",
+                "duplicate_host_name",
                 peer=message.host.name,
                 incarnation=message.host.incarnation,
             )
             return None
         if previous is None or previous.incarnation < message.host.incarnation:
-            logs.event("host_in", peer=message.host.name)
-            # A newer incarnation proves that the old process is dead.
+            logs.event("host_joined", peer=message.host.name)
+            # A newer incarnation proves that the old process has ended.
             self.watchers.refresh(now)
             self.dispatcher.release_host(message.host.name)
-            await self._abandon_calls(message.host)
+            await self._abandon_older_calls(message.host)
         elif previous.draining != message.host.draining:
             logs.event("host_draining", peer=message.host.name)
             self.watchers.refresh(now)
-            await self._push_change()
-        return self._lease(message)
+            await self._push_version()
+        return self._lease_answer(message)
 
-    def _lease(self, message: messages.Watch) -> messages.Message:
+    def _lease_answer(self, message: messages.Watch) -> messages.Message:
         if not self._replicator.leads:
-            # Another may lead and have accepted a newer configuration.
+            # Another leader may have committed a newer configuration.
             return messages.NotLeader(address="")
         configuration = self._replicator.state.configuration
         update = None
         if message.have != configuration.version:
             update = configuration.update_since(message.have)
         hosts_version = self.watchers.hosts_version
-        # A host without any table is better off with a short one.
-        seen = message.hosts_seen == hosts_version or (
+        # An incomplete table is sent only to a host that has none yet.
+        has_hosts = message.hosts_seen == hosts_version or (
             message.hosts_seen > 0
             and not self.watchers.is_complete(time.monotonic())
         )
@@ -280,16 +291,16 @@
             update=update,
             version=configuration.version,
             seconds=self._settings.timing.lease_seconds,
-            hosts=None if seen else self.watchers.live,
-            hosts_version=message.hosts_seen if seen else hosts_version,
+            hosts=None if has_hosts else self.watchers.live,
+            hosts_version=message.hosts_seen if has_hosts else hosts_version,
         )
 
-    async def _abandon_calls(self, host: messages.HostInfo) -> None:
-        dead = any(
+    async def _abandon_older_calls(self, host: messages.HostInfo) -> None:
+        has_older_calls = any(
             name == host.name and incarnation < host.incarnation
             for name, incarnation in self._replicator.state.calls.running_hosts
         )
-        if dead:
+        if has_older_calls:
             await self._replicator.propose(
                 calls_lib.AbandonCalls(host=host.name, before=host.incarnation)
             )
--- a/packages/endivestream/src/endivestream/process/limiter.py
+++ b/packages/endivestream/src/endivestream/process/limiter.py
@@ -1,4 +1,7 @@
-"""The task that owns the buckets of teams and wakes their waiting charges."""
+"""Rate limiter of the leader: owns the teams' token buckets.
+
+It admits waiting charges when their credit is refilled.
+"""
 
 from __future__ import annotations
 
@@ -14,43 +17,46 @@
 from endivestream.version import replicate
 from endivestream.version import rules as rules_lib
 
-# A leader is new for so long; a portion is a second's worth of the rate.
-_YOUNG_SECONDS = 2.0
+# A leader counts as new for this long. The portion of credit that its
+# predecessor reserved is worth one second of the rate.
+_NEW_LEADER_SECONDS = 2.0
 
 
-def _now() -> int:
+def _now_us() -> int:
     return time.monotonic_ns() // 1000
 
 
 class Limiter:
-    """Answers charges of all hosts, while this process leads."""
+    """Charges requests of all hosts to their teams while this process leads."""
 
     def __init__(
         self,
         *,
-        set_aside: Callable[[dict[str, credit_lib.Level]], Awaitable[bool]],
+        reserve_credit: Callable[
+            [dict[str, credit_lib.Level]], Awaitable[bool]
+        ],
     ) -> None:
-        self._set_aside = set_aside
-        self._young_until = _now() + int(_YOUNG_SECONDS * 1e6)
+        self._reserve_credit = reserve_credit
+        self._new_leader_until = _now_us() + int(_NEW_LEADER_SECONDS * 1e6)
         self._buckets: dict[str, buckets.Bucket] = {}
         self._teams: dict[str, rules_lib.Team] = {}
-        self._waiting: dict[str, asyncio.Future[None]] = {}
+        self._waiting_charges: dict[str, asyncio.Future[None]] = {}
         self._timers: dict[str, asyncio.TimerHandle] = {}
-        self._short: set[str] = set()
-        self._setting_aside: asyncio.Task[None] | None = None
+        self._short_teams: set[str] = set()
+        self._reserve_task: asyncio.Task[None] | None = None
 
     async def close(self) -> None:
-        """Stops; waiting charges are to be asked of the next leader."""
+        """Stops; waiting charges must be repeated with the next leader."""
         for timer in self._timers.values():
             timer.cancel()
-        for future in self._waiting.values():
+        for future in self._waiting_charges.values():
             if not future.done():
                 future.set_exception(replicate.NotLeaderError(""))
-        await tasks.cancel([self._setting_aside])
+        await tasks.cancel([self._reserve_task])
 
     def levels(self) -> dict[str, float]:
-        """Returns each team's credit in tokens."""
-        now = _now()
+        """Returns the credit of each team in tokens."""
+        now = _now_us()
         return {
             name: round(bucket.level(now), 1)
             for name, bucket in self._buckets.items()
@@ -62,15 +68,16 @@
         *,
         levels: dict[str, int] | None = None,
     ) -> None:
-        """Follows the rules; running and waiting charges stay.
+        """Applies the teams of the rules; running and waiting charges stay.
 
         Args:
             teams: The teams of the rules.
-            levels: At the start of a leadership, what each team surely has,
-                in millionths of a token; one without a level has nothing.
-                Later, None: a new name is a new team, with its whole burst.
+            levels: At the start of a term, the credit that each team has at
+                least, in millionths of a token; a team without a level starts
+                with none. None later in the term: a new name is a new team and
+                starts with its full burst.
         """
-        now = _now()
+        now = _now_us()
         for name, team in teams.items():
             bucket = self._buckets.get(name)
             if bucket is None:
@@ -80,7 +87,7 @@
                 )
             elif team != self._teams.get(name):
                 bucket.change(rate=team.rate, burst=team.burst, now=now)
-                self._wake(name)
+                self._admit_ready(name)
         for name in set(self._buckets) - set(teams):
             del self._buckets[name]
         self._teams = dict(teams)
@@ -88,7 +95,7 @@
     async def charge(
         self, message: messages.Charge
     ) -> messages.Charged | messages.Refused:
-        """Answers a charge, after the refill if it comes in time."""
+        """Answers a charge, after waiting for a refill within its patience."""
         bucket = self._buckets.get(message.team)
         if bucket is None:
             return messages.Refused(
@@ -96,17 +103,19 @@
                 detail=f"team {message.team!r} is not in the rules",
                 retry_after=-1,
             )
-        begun = _now()
+        started_at = _now_us()
         patience = message.patience
         if not message.firm:
-            # The last leader's portions are gone. Teams inside their rate
-            # wait for that; they are not refused for it.
-            patience = max(patience, (self._young_until - begun) / 1e6)
+            # The credit reserved by the previous leader is lost. Teams within
+            # their rate wait for its refill and are not refused because of it.
+            patience = max(
+                patience, (self._new_leader_until - started_at) / 1e6
+            )
         charge = buckets.Charge(message.request, message.tokens)
-        deadline = begun + int(patience * 1e6)
-        match bucket.charge(charge, now=begun, deadline=deadline):
+        deadline = started_at + int(patience * 1e6)
+        match bucket.charge(charge, now=started_at, deadline=deadline):
             case buckets.Admitted():
-                self._look_at_portion(message.team)
+                self._request_portion(message.team)
                 return messages.Charged(waited=0.0)
             case buckets.TooLarge(burst=burst):
                 return messages.Refused(
@@ -119,62 +128,62 @@
                 return messages.Refused(
                     reason="over_rate",
                     detail="the team is over its rate; its credit for this "
-                    f"request comes in {seconds:.1f} s",
+                    f"request is available in {seconds:.1f} s",
                     retry_after=seconds,
                 )
             case buckets.Wait():
-                return await self._wait(bucket, message, begun, patience)
+                return await self._wait(bucket, message, started_at, patience)
 
     async def _wait(
         self,
         bucket: buckets.Bucket,
         message: messages.Charge,
-        begun: int,
+        started_at: int,
         patience: float,
     ) -> messages.Charged | messages.Refused:
-        # A charge that was sent again, after its link was lost, waits for the
-        # same credit as its first send.
-        future = self._waiting.get(message.request)
+        # A charge that is sent again after the loss of a link waits for the
+        # same credit as the first send.
+        future = self._waiting_charges.get(message.request)
         if future is None:
             future = asyncio.get_running_loop().create_future()
-            self._waiting[message.request] = future
-        self._wake(message.team)
+            self._waiting_charges[message.request] = future
+        self._admit_ready(message.team)
         try:
             async with asyncio.timeout(patience):
                 await asyncio.shield(future)
         except TimeoutError:
-            # A rate that was lowered while this waited moved its refill.
+            # The rate was lowered meanwhile, which delayed the refill.
             bucket.cancel(message.request)
             return messages.Refused(
                 reason="over_rate",
-                detail="the team's credit did not come in time",
+                detail="the team's credit was not available in time",
                 retry_after=1.0,
             )
         finally:
-            self._waiting.pop(message.request, None)
-        return messages.Charged(waited=(_now() - begun) / 1e6)
+            self._waiting_charges.pop(message.request, None)
+        return messages.Charged(waited=(_now_us() - started_at) / 1e6)
 
-    def settle(self, ending: messages.Ending) -> None:
-        """Gives unused credit back, and takes a waiting charge out."""
-        bucket = self._buckets.get(ending.team)
+    def settle(self, completion: messages.Ending) -> None:
+        """Returns unused credit and cancels a charge that still waits."""
+        bucket = self._buckets.get(completion.team)
         if bucket is None:
             return
-        bucket.cancel(ending.request)
-        bucket.settle(ending.request, used=ending.used, now=_now())
-        self._wake(ending.team)
+        bucket.cancel(completion.request)
+        bucket.settle(completion.request, used=completion.used, now=_now_us())
+        self._admit_ready(completion.team)
 
-    def _wake(self, team: str) -> None:
-        """Admits what is ready and sets the timer for the next."""
+    def _admit_ready(self, team: str) -> None:
+        """Admits charges whose credit is there; sets the timer for the next."""
         bucket = self._buckets[team]
-        now = _now()
+        now = _now_us()
         for charge in bucket.ready(now):
-            future = self._waiting.get(charge.request)
+            future = self._waiting_charges.get(charge.request)
             if future is not None and not future.done():
                 future.set_result(None)
             else:
-                # The one who waited is gone: nothing of it was used.
+                # The waiting call has ended, so none of the credit was used.
                 bucket.settle(charge.request, used=0, now=now)
-        self._look_at_portion(team)
+        self._request_portion(team)
         timer = self._timers.pop(team, None)
         if timer is not None:
             timer.cancel()
@@ -182,20 +191,20 @@
         if at is not None and at > now:
             loop = asyncio.get_running_loop()
             self._timers[team] = loop.call_later(
-                (at - now) / 1e6, self._wake_if_there, team
+                (at - now) / 1e6, self._on_timer, team
             )
 
-    def _look_at_portion(self, team: str) -> None:
-        """Has a portion set aside for a team that runs short of it."""
-        self._short.add(team)
-        if self._setting_aside is None or self._setting_aside.done():
-            self._setting_aside = asyncio.create_task(self._set_all_aside())
-
-    async def _set_all_aside(self) -> None:
-        """Commits portions of all teams that run short, many in one entry."""
-        while self._short:
-            names, self._short = self._short, set()
-            now = _now()
+    def _request_portion(self, team: str) -> None:
+        """Requests a portion of reserved credit for a team that runs short."""
+        self._short_teams.add(team)
+        if self._reserve_task is None or self._reserve_task.done():
+            self._reserve_task = asyncio.create_task(self._reserve_portions())
+
+    async def _reserve_portions(self) -> None:
+        """Commits portions for all teams that run short, many in one entry."""
+        while self._short_teams:
+            names, self._short_teams = self._short_teams, set()
+            now = _now_us()
             proposed = {}
             for name in names & self._buckets.keys():
                 portion = self._buckets[name].propose_portion(now)
@@ -203,7 +212,7 @@
                     proposed[name] = portion
             if not proposed:
                 continue
-            accepted = await self._set_aside(
+            accepted = await self._reserve_credit(
                 {
                     name: credit_lib.Level(portion.rest, portion.most)
                     for name, portion in proposed.items()
@@ -215,10 +224,10 @@
                     bucket.confirm_portion(proposed[name])
                 else:
                     bucket.drop_portion(proposed[name])
-                self._wake(name)
+                self._admit_ready(name)
             if not accepted:
                 return
 
-    def _wake_if_there(self, team: str) -> None:
+    def _on_timer(self, team: str) -> None:
         if team in self._buckets:
-            self._wake(team)
+            self._admit_ready(team)
