--- a/packages/endivestream/src/endivestream/process/turn_desk.py
+++ b/packages/endivestream/src/endivestream/process/turn_desk.py
@@ -1,8 +1,9 @@
-"""Asks the owner of an engine for turns, and gives them for engines owned here.
+"""Requests prefill turns from turn owners; grants those of engines owned here.
 
-Which host owns an engine follows from the list of entry hosts alone, so all of
-them agree without a word as soon as they have the same list; while they do
-not, two hosts give turns beside each other, and prompts come a little faster.
+The turn owner of an engine is computed from the list of entry hosts alone, so
+hosts with the same list agree without messages. While their lists differ, two
+hosts may grant turns for an engine independently, and prompts reach it slightly
+faster.
 """
 
 from __future__ import annotations
@@ -21,17 +22,17 @@
 from endivestream.connection import links
 from endivestream.request import turns as turns_lib
 
-# An owner answers within a few milliseconds. A request that would wait longer
-# for advice is better sent without.
-_ANSWER_SECONDS = 0.04
-# An owner that did not answer is left alone for so long.
-_SILENT_SECONDS = 1.0
-# A link that says nothing for so long is opened anew.
-_LINK_SECONDS = 3.0
+# A turn owner answers within a few milliseconds. A prompt that would wait
+# longer for the answer is sent without a turn.
+_ANSWER_TIMEOUT_SECONDS = 0.04
+# A turn owner that did not answer receives no requests for this long.
+_SKIP_OWNER_SECONDS = 1.0
+# A link without received bytes for this long is reopened.
+_LINK_SILENCE_SECONDS = 3.0
 
 
 class TurnDesk:
-    """Turns at all engines, as one entry host sees them."""
+    """Requests and grants prefill turns on one entry host."""
 
     def __init__(
         self,
@@ -40,12 +41,12 @@
         context: zmq.asyncio.Context,
         meter: loop_meter.LoopMeter | None = None,
     ) -> None:
-        """Has no other hosts before `set_hosts`.
+        """Starts without other hosts; `set_hosts` sets them.
 
         Args:
-            name: This host.
+            name: Name of this host.
             context: The process's zmq context.
-            meter: Counts what messages cost.
+            meter: Measures the event loop time of messages.
         """
         self._meter = meter or loop_meter.LoopMeter()
         self._name = name
@@ -54,54 +55,56 @@
         self._hosts: tuple[site_messages.EntryHost, ...] = ()
         self._links: dict[str, links.Link] = {}
         self._silent_until: dict[str, float] = {}
-        self._closing: set[asyncio.Task[None]] = set()
+        self._close_tasks: set[asyncio.Task[None]] = set()
 
     async def close(self) -> None:
         """Closes all connections."""
-        await tasks.cancel(list(self._closing))
+        await tasks.cancel(list(self._close_tasks))
         for link in self._links.values():
             await link.close()
 
     def set_hosts(self, hosts: Sequence[site_messages.EntryHost]) -> None:
-        """Takes over which entry hosts there are."""
+        """Sets the list of entry hosts and closes links to removed ones."""
         self._hosts = tuple(h for h in hosts if h.peers and not h.draining)
-        known = {host.peers for host in self._hosts}
-        for address in self._links.keys() - known:
-            closing = asyncio.create_task(self._links.pop(address).close())
-            self._closing.add(closing)
-            closing.add_done_callback(self._closing.discard)
+        addresses_in_use = {host.peers for host in self._hosts}
+        for address in self._links.keys() - addresses_in_use:
+            close_task = asyncio.create_task(self._links.pop(address).close())
+            self._close_tasks.add(close_task)
+            close_task.add_done_callback(self._close_tasks.discard)
 
     def owner(self, target: str, domain: str) -> str:
-        """Returns the address of an engine's owner, or empty for this host.
+        """Returns the address of an engine's turn owner; empty for this host.
 
-        The owner is in the engine's failure domain if a host is: most of its
-        requests come from there.
+        The turn owner is in the engine's failure domain if any host is, because
+        most of the engine's requests come from there.
         """
-        near = [host for host in self._hosts if host.domain == domain]
-        hosts = near or self._hosts
+        local_hosts = [host for host in self._hosts if host.domain == domain]
+        hosts = local_hosts or self._hosts
         if not hosts:
             return ""
-        best = min(hosts, key=lambda host: addresses.rank(target, host.name))
-        return "" if best.name == self._name else best.peers
+        owner_host = min(
+            hosts, key=lambda host: addresses.rank(target, host.name)
+        )
+        return "" if owner_host.name == self._name else owner_host.peers
 
     async def take(
         self, target: str, domain: str, tokens: float, rank: int
     ) -> float:
-        """Returns how many seconds a prompt should wait; 0 if nobody says."""
+        """Returns the seconds that a prompt should wait; 0 if no answer."""
         owner = self.owner(target, domain)
         now = clock.now()
         if not owner:
             return self._turns.take(target, tokens, rank, now)
         if self._silent_until.get(owner, now) > now:
             return 0.0
-        ask = site_messages.AskTurn(target=target, tokens=tokens, rank=rank)
+        request = site_messages.AskTurn(target=target, tokens=tokens, rank=rank)
         try:
             answer = await self._link(owner).request(
-                ask, seconds=_ANSWER_SECONDS
+                request, seconds=_ANSWER_TIMEOUT_SECONDS
             )
         except links.LinkDownError as error:
             logs.warn("turn_unanswered", peer=owner, why=error)
-            self._silent_until[owner] = clock.now() + _SILENT_SECONDS
+            self._silent_until[owner] = clock.now() + _SKIP_OWNER_SECONDS
             return 0.0
         match answer:
             case site_messages.GiveTurn(seconds=seconds):
@@ -110,7 +113,7 @@
         return 0.0
 
     def answer(self, message: site_messages.AskTurn) -> site_messages.GiveTurn:
-        """Answers a request for a turn at an engine that this host owns."""
+        """Answers a request for a prefill turn at an engine owned here."""
         wait = self._turns.take(
             message.target, message.tokens, message.rank, clock.now()
         )
@@ -123,7 +126,7 @@
                 address=address,
                 context=self._context,
                 on_push=lambda message: None,
-                silence=_LINK_SECONDS,
+                silence=_LINK_SILENCE_SECONDS,
                 expects_pushes=False,
                 meter=self._meter,
             )
