--- a/tests/leader_site.py
+++ b/tests/leader_site.py
@@ -1,8 +1,8 @@
-"""A leader with a whole site before it, in virtual time, for tests of its load.
+"""Simulation of a site in virtual time, for load tests of its leader.
 
-The leader is the real one behind a real server of links; frames cost it time
-of its event loop as on a control host with a third of a core. Entry hosts and
-targets are tasks that cost nothing.
+The leader is the product's own, behind its own link server. Frames take the
+event loop time that they take on a control host with a third of a core. Entry
+hosts and targets are simulated by tasks that take no time.
 """
 
 import asyncio
@@ -29,12 +29,12 @@
 
 from tests import test_document
 
-# Seconds of the leader's loop, with what goes on around a frame.
+# Event loop time of the leader, including the handling around a frame.
 READ_SECONDS = 0.0006
 ENCODE_SECONDS = 0.00005
 ENCODE_SECONDS_PER_BYTE = 0.15e-6
 SEND_SECONDS = 0.0003
-_LOOK_SECONDS = 0.01
+_LAG_PROBE_SECONDS = 0.01
 _ENCODE = messages.encode
 
 SETTINGS = site_settings.SiteSettings(
@@ -53,12 +53,12 @@
 )
 
 
-# A follower's request interval plus its answer timeout.
+# Time until followers detect the loss: request interval plus answer timeout.
 RELAY_LOSS_SECONDS = 0.6 + 0.25
 
 
 class Log:
-    """A replicated log of one."""
+    """Replicated log with a single replica."""
 
     leads = True
     term = 1
@@ -87,19 +87,19 @@
 
 
 def encode(envelope, site):
-    """Encodes a frame on the leader's time."""
+    """Encodes a frame and charges its cost to the leader's event loop."""
     frame = _ENCODE(envelope)
     site.charge(ENCODE_SECONDS + len(frame) * ENCODE_SECONDS_PER_BYTE)
     return frame
 
 
 class Wire:
-    """The server's socket: what it reads and sends costs it time."""
+    """Socket of the link server; reading and sending take event loop time."""
 
     def __init__(self, site):
         self._site = site
-        self._arrived = collections.deque()
-        # Readable while frames wait.
+        self._received_frames = collections.deque()
+        # The file descriptor is readable while frames wait.
         self._read_end, self._write_end = socket.socketpair()
         self.FD = self._read_end.fileno()
 
@@ -118,16 +118,16 @@
 
     def deliver(self, peer, message, number):
         envelope = messages.Envelope(number, message)
-        self._arrived.append((peer, envelope))
-        if len(self._arrived) == 1:
+        self._received_frames.append((peer, envelope))
+        if len(self._received_frames) == 1:
             self._write_end.send(b"1")
 
     def recv_multipart(self, flags):
         assert flags == zmq.NOBLOCK
-        if not self._arrived:
+        if not self._received_frames:
             raise zmq.Again
-        peer, envelope = self._arrived.popleft()
-        if not self._arrived:
+        peer, envelope = self._received_frames.popleft()
+        if not self._received_frames:
             self._read_end.recv(1)
         self._site.charge(READ_SECONDS)
         return [peer, _ENCODE(envelope)]
@@ -136,16 +136,16 @@
         assert flags == zmq.NOBLOCK
         peer, frame = frames
         self._site.charge(SEND_SECONDS)
-        self._site.sent(peer, frame)
+        self._site.on_frame_sent(peer, frame)
 
 
 class Host:
-    """An entry host: renews, and keeps what it is told."""
+    """An entry host that renews its lease and applies table updates."""
 
     def __init__(self, site, number, domain):
         self.name = f"e{number}"
         self.domain = domain
-        # The name of the relay that this host follows.
+        # Name of the relay that this host follows.
         self.relay = ""
         self.followers = []
         self.is_frozen = False
@@ -170,7 +170,7 @@
 
     @property
     def entry(self):
-        """The entry that the host sends with its renewals."""
+        """Description of the host, sent with its renewals."""
         return site_messages.EntryHost(
             self.name,
             self.incarnation,
@@ -180,7 +180,7 @@
             f"tcp://{self.name}",
         )
 
-    def heard(self, frame, *, from_relay=False):
+    def receive_frame(self, frame, *, from_relay=False):
         if self.is_cut_off or self.is_frozen:
             return
         self.frames += 1
@@ -194,21 +194,26 @@
         if not from_relay:
             for follower in self.followers:
                 if follower.relay == self.name:
-                    follower.heard(frame, from_relay=True)
+                    follower.receive_frame(frame, from_relay=True)
         match envelope.body:
             case site_messages.News():
-                self._take(envelope.body)
+                self._apply_update(envelope.body)
             case site_messages.Loads(loads=loads):
                 self.loads.append((clock.now(), loads))
 
-    def _take(self, news):
-        self.documents += news.document is not None
-        if news.document is not None and news.document.version > self.version:
-            self.version = news.document.version
+    def _apply_update(self, update):
+        self.documents += update.document is not None
+        if (
+            update.document is not None
+            and update.document.version > self.version
+        ):
+            self.version = update.document.version
             self.version_at[self.version] = clock.now()
-        self._take_table(news)
-        leaving = news.gone or any(t.said.draining for t in news.targets)
-        if news.document is None and not leaving:
+        self._apply_table(update)
+        has_departures = update.gone or any(
+            t.said.draining for t in update.targets
+        )
+        if update.document is None and not has_departures:
             return
         self._site.wire.deliver(
             self.peer,
@@ -218,10 +223,10 @@
             0,
         )
 
-    def _take_table(self, news):
-        if news.position <= self.position:
+    def _apply_table(self, update):
+        if update.position <= self.position:
             return
-        after = news.after
+        after = update.after
         if after is None:
             self.targets = {}
         elif (
@@ -229,15 +234,15 @@
             or after.number > self.position.number
         ):
             return
-        for target in news.targets:
+        for target in update.targets:
             self.targets[target.said.name] = target
-        for name in news.gone:
+        for name in update.gone:
             self.targets.pop(name, None)
-        self.position = news.position
+        self.position = update.position
 
     async def ask(self, message, *, seconds=0.4):
-        """Returns the leader's answer; None if it does not come in time."""
-        self._site.questions += 1
+        """Returns the leader's answer; None after a timeout."""
+        self._site.requests_sent += 1
         self._number += 1
         answer = asyncio.get_running_loop().create_future()
         self._answers[self._number] = answer
@@ -252,7 +257,7 @@
     async def renew(self):
         if self.is_frozen:
             return None
-        sent = clock.now()
+        sent_at = clock.now()
         answer = await self.ask(
             site_messages.Renew(
                 host=self.entry,
@@ -262,9 +267,9 @@
             )
         )
         if isinstance(answer, site_messages.Renewed):
-            self.lease_until = sent + answer.seconds
+            self.lease_until = sent_at + answer.seconds
             if answer.news:
-                self._take(answer.news)
+                self._apply_update(answer.news)
         return answer
 
 
@@ -279,13 +284,13 @@
         self.pushed_frames = 0
         self.targets = [f"t{n}" for n in range(targets)]
         self.unanswered = 0
-        self.granted = 0
-        self.questions = 0
-        self.latest = 0.0
+        self.granted_sends = 0
+        self.requests_sent = 0
+        self.max_loop_lag = 0.0
         self.log = Log()
         self._by_peer = {host.peer: host for host in self.hosts}
         self._reports = 0
-        self._leaving = set()
+        self._draining_targets = set()
         self._tasks = []
         self._server = links.Server(
             address="tcp://c0",
@@ -296,10 +301,10 @@
         )
 
     async def start(self):
-        self._encoding = mock.patch.object(
+        self._encode_patch = mock.patch.object(
             messages, "encode", lambda envelope: encode(envelope, self)
         )
-        self._encoding.start()
+        self._encode_patch.start()
         self._server.start()
         self.leading = site_leading.SiteLeading(
             settings=SETTINGS,
@@ -307,7 +312,7 @@
         )
         self.log.on_applied = self.leading.applied
         self.leading.start()
-        self.repeat(_LOOK_SECONDS, self._look)
+        self.run_periodically(_LAG_PROBE_SECONDS, self._measure_loop_lag)
         return self
 
     async def close(self):
@@ -316,47 +321,47 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await self.leading.close()
         await self._server.close()
-        self._encoding.stop()
+        self._encode_patch.stop()
 
     def charge(self, seconds):
         self.loop.charge(seconds)
 
-    def sent(self, peer, frame):
+    def on_frame_sent(self, peer, frame):
         host = self._by_peer.get(peer)
         if _decode_id(frame) == 0:
             self.pushed_bytes += len(frame)
             self.pushed_frames += 1
         if host is not None:
-            host.heard(frame)
+            host.receive_frame(frame)
 
     async def _handle(self, peer, message):
         return await self.leading.handle(peer, message)
 
-    def repeat(self, seconds, work, *, first=0.0):
-        """Does something again and again for as long as the site runs."""
+    def run_periodically(self, seconds, action, *, delay=0.0):
+        """Runs an action periodically until the site is closed."""
 
         async def run():
-            await asyncio.sleep(first)
+            await asyncio.sleep(delay)
             while True:
-                due = clock.now() + (await work() or seconds)
+                due = clock.now() + (await action() or seconds)
                 await asyncio.sleep(max(0.0, due - clock.now()))
 
         self._tasks.append(asyncio.create_task(run()))
 
-    async def _look(self):
-        due = clock.now() + _LOOK_SECONDS
-        await asyncio.sleep(_LOOK_SECONDS)
-        self.latest = max(self.latest, clock.now() - due)
+    async def _measure_loop_lag(self):
+        due = clock.now() + _LAG_PROBE_SECONDS
+        await asyncio.sleep(_LAG_PROBE_SECONDS)
+        self.max_loop_lag = max(self.max_loop_lag, clock.now() - due)
 
-    # What the site does.
+    # Actions of hosts and targets.
 
     async def renew(self, host):
-        """Renews; returns the seconds until the next renewal, if given."""
+        """Renews a host; returns the interval set by the leader, if any."""
         answer = await host.renew()
         return getattr(answer, "every", None)
 
     def follow_relays(self):
-        """Makes hosts follow the relays of their domains."""
+        """Makes each host follow a relay of its failure domain."""
         entries = [host.entry for host in self.hosts]
         by_name = {host.name: host for host in self.hosts}
         for host in self.hosts:
@@ -366,20 +371,20 @@
                 host.relay = relay.name
                 by_name[relay.name].followers.append(host)
 
-    async def freeze(self, host):
-        """Stops a host; its followers leave it once they detect the loss."""
+    async def freeze_host(self, host):
+        """Freezes a host; its followers drop it when they detect the loss."""
         host.is_frozen = True
         await asyncio.sleep(RELAY_LOSS_SECONDS)
         for follower in host.followers:
             follower.relay = ""
 
-    async def ask_credit(self, host):
-        """A request that needs more credit than its host holds."""
+    async def request_credit(self, host):
+        """Requests credit for a request that exceeds its host's balance."""
         team = document_lib.Team(name="band", keys=("k",), rate=9e9, burst=9e9)
         await host.credit.take(team, 1.0, soon=0.5, patience=0.5)
 
-    async def ask_send(self, host, target, rate):
-        """A request for a target that names a limit."""
+    async def request_send(self, host, target, rate):
+        """Requests a send to a target with a rate limit."""
         answer = await host.ask(
             site_messages.AskSend(
                 limit=site_messages.RateLimit(target, 1, rate, 0.0),
@@ -387,20 +392,22 @@
             ),
             seconds=0.15,
         )
-        self.granted += getattr(answer, "wait", None) is not None
-
-    async def leave(self, target):
-        """A target says that it leaves; returns when that was confirmed."""
-        self._leaving.add(target)
-        said = self._said(target)
-        await self.leading.handle(b"c1", site_messages.Register(said=said))
+        self.granted_sends += getattr(answer, "wait", None) is not None
+
+    async def drain_target(self, target):
+        """Drains a target; returns the time at which that was confirmed."""
+        self._draining_targets.add(target)
+        registration = self._registration(target)
+        await self.leading.handle(
+            b"c1", site_messages.Register(said=registration)
+        )
         return clock.now()
 
     async def report(self, target, *, loaded=()):
-        said = self._said(target, loaded=loaded)
-        self.wire.deliver(b"c1", site_messages.Register(said=said), 0)
+        registration = self._registration(target, loaded=loaded)
+        self.wire.deliver(b"c1", site_messages.Register(said=registration), 0)
 
-    def _said(self, target, *, loaded=()):
+    def _registration(self, target, *, loaded=()):
         self._reports += 1
         return registry_lib.Registration(
             name=target,
@@ -409,16 +416,16 @@
             domain="a",
             born=1,
             number=self._reports,
-            draining=target in self._leaving,
+            draining=target in self._draining_targets,
             loaded=tuple(registry_lib.Loaded(model) for model in loaded),
         )
 
-    async def change(self, target):
-        """A target says something that entry hosts act on."""
+    async def change_target(self, target):
+        """Reports a change of a target that entry hosts use."""
         await self.report(target, loaded=(f"m{self._reports}",))
 
-    async def apply(self, version, *, routes=1):
-        """Has a document committed; returns when it was confirmed."""
+    async def apply_document(self, version, *, routes=1):
+        """Commits a document; returns the time at which it was confirmed."""
         document = test_document.document(
             version,
             routes=[
@@ -430,37 +437,43 @@
         return clock.now()
 
     def run_hosts(self, *, every, credit):
-        """Has all hosts renew, and ask for credit so often together."""
+        """Makes all hosts renew and send `credit` credit requests a second."""
         for number, host in enumerate(self.hosts):
-            begin = every * number / len(self.hosts)
-            self.repeat(every, lambda h=host: self.renew(h), first=begin)
+            delay = every * number / len(self.hosts)
+            self.run_periodically(
+                every, lambda h=host: self.renew(h), delay=delay
+            )
         for number in range(credit):
             host = self.hosts[number % len(self.hosts)]
-            self.repeat(
-                1.0, lambda h=host: self.ask_credit(h), first=number / credit
+            self.run_periodically(
+                1.0,
+                lambda h=host: self.request_credit(h),
+                delay=number / credit,
             )
 
-    def run_limits(self, *, rate, asks):
-        """Has all targets name a limit, and hosts ask for sends."""
-        for number in range(asks):
+    def run_limits(self, *, rate, requests):
+        """Makes hosts send `requests` send requests a second in total."""
+        for number in range(requests):
             host = self.hosts[number % len(self.hosts)]
             target = self.targets[number % len(self.targets)]
-            self.repeat(
+            self.run_periodically(
                 1.0,
-                lambda h=host, t=target: self.ask_send(h, t, rate),
-                first=number / asks,
+                lambda h=host, t=target: self.request_send(h, t, rate),
+                delay=number / requests,
             )
 
     def run_targets(self, *, changes):
-        """Has targets report, and change so often a second together."""
+        """Makes targets report, with `changes` changes a second in total."""
         for number, target in enumerate(self.targets):
-            self.repeat(
+            self.run_periodically(
                 SETTINGS.report,
                 lambda t=target: self.report(t),
-                first=SETTINGS.report * number / len(self.targets),
+                delay=SETTINGS.report * number / len(self.targets),
             )
         for number in range(changes):
             target = self.targets[number % len(self.targets)]
-            self.repeat(
-                1.0, lambda t=target: self.change(t), first=number / changes
+            self.run_periodically(
+                1.0,
+                lambda t=target: self.change_target(t),
+                delay=number / changes,
             )
--- a/tests/test_leader_load.py
+++ b/tests/test_leader_load.py
@@ -1,4 +1,4 @@
-"""A leader of a large site answers in time, whatever changes there."""
+"""Load tests of the leader of a large site: it must answer in time."""
 
 import asyncio
 import unittest
@@ -10,42 +10,45 @@
 
 HOSTS = 69
 TARGETS = 34
-# A voter that hears nothing for the election time, counted from the last
-# heartbeat, stands for election.
+# A voter that receives nothing for the election time, counted from the last
+# heartbeat, becomes a candidate.
 SILENCE_SECONDS = leader_site.SETTINGS.election_seconds * 4 / 5
 
 
 class LeaderLoadTest(unittest.TestCase):
-    def _run(self, work, *, hosts=HOSTS, targets=TARGETS, domains=1):
+    def _run(self, scenario, *, hosts=HOSTS, targets=TARGETS, domains=1):
         async def run():
             site = await leader_site.Site(
                 hosts=hosts, targets=targets, domains=domains
             ).start()
             try:
-                return await work(site)
+                return await scenario(site)
             finally:
                 await site.close()
 
         with virtual_time.running() as runner:
             return runner.run(run())
 
-    def test_changes_of_targets_do_not_silence_the_leader(self):
-        """Placement at full pace must not look like the leader's death."""
+    def test_target_changes_leave_the_leader_responsive(self):
+        """Guards against elections caused by frequent placement changes.
 
-        async def busy(site):
+        Pushes of 40 changes a second must leave the leader time for heartbeats.
+        """
+
+        async def apply_load(site):
             site.run_hosts(every=0.3, credit=300)
             site.run_targets(changes=40)
             await asyncio.sleep(8.0)
             return site
 
-        site = self._run(busy)
-        self.assertLess(site.latest, SILENCE_SECONDS)
+        site = self._run(apply_load)
+        self.assertLess(site.max_loop_lag, SILENCE_SECONDS)
         self.assertEqual(site.unanswered, 0)
 
-    def test_pushes_to_hundreds_of_hosts_do_not_silence_the_leader(self):
-        """The leader must keep answering in time with hundreds of hosts."""
+    def test_pushes_to_hundreds_of_hosts_leave_the_leader_responsive(self):
+        """Guards against late answers when updates go to hundreds of hosts."""
 
-        async def busy(site):
+        async def apply_load(site):
             site.follow_relays()
             site.run_hosts(every=0.3, credit=150)
             site.run_targets(changes=40)
@@ -54,29 +57,33 @@
 
         for hosts in (191, 390):
             with self.subTest(hosts=hosts):
-                site = self._run(busy, hosts=hosts, targets=44, domains=5)
-                self.assertLess(site.latest, SILENCE_SECONDS)
+                site = self._run(apply_load, hosts=hosts, targets=44, domains=5)
+                self.assertLess(site.max_loop_lag, SILENCE_SECONDS)
                 self.assertEqual(site.unanswered, 0)
 
-    def test_questions_about_limited_targets_do_not_silence_the_leader(self):
-        """A tenth of 650 targets in need must not cost the leader its lead."""
+    def test_send_requests_leave_the_leader_responsive(self):
+        """Guards against elections when many targets have a rate limit.
+
+        A tenth of 650 targets has a limit, and hosts request permission to send
+        to them from the leader.
+        """
 
-        async def busy(site):
+        async def apply_load(site):
             site.follow_relays()
             site.run_hosts(every=0.7, credit=0)
-            site.run_limits(rate=4.0, asks=520)
+            site.run_limits(rate=4.0, requests=520)
             await asyncio.sleep(5.0)
             return site
 
-        site = self._run(busy, hosts=390, targets=65, domains=5)
-        self.assertLess(site.latest, SILENCE_SECONDS)
+        site = self._run(apply_load, hosts=390, targets=65, domains=5)
+        self.assertLess(site.max_loop_lag, SILENCE_SECONDS)
         self.assertEqual(site.unanswered, 0)
-        self.assertGreater(site.granted, 4 * 65 * 4.0 * 0.9)
+        self.assertGreater(site.granted_sends, 4 * 65 * 4.0 * 0.9)
 
     def test_the_leader_writes_a_push_to_few_hosts_of_each_domain(self):
-        """Traffic between domains must not grow with hosts times changes."""
+        """Guards against traffic between domains of hosts times changes."""
 
-        async def busy(site, *, relays):
+        async def apply_load(site, *, relays):
             if relays:
                 site.follow_relays()
             site.run_hosts(every=0.3, credit=0)
@@ -88,7 +95,7 @@
 
         pushed = [
             self._run(
-                lambda site, r=relays: busy(site, relays=r),
+                lambda site, r=relays: apply_load(site, relays=r),
                 hosts=191,
                 targets=44,
                 domains=5,
@@ -98,7 +105,7 @@
         self.assertLess(pushed[1], pushed[0] / 4)
 
     def test_pushes_take_less_than_a_quarter_of_the_leaders_time(self):
-        """Frequent pushes would delay answers to renewals and heartbeats."""
+        """Guards against pushes that delay renewals and heartbeats."""
         seconds = 5.0
 
         async def count_pushed_frames(site):
@@ -113,7 +120,10 @@
         self.assertLess(pushed_frames * leader_site.SEND_SECONDS, seconds / 4)
 
     def test_the_rate_of_pushes_to_a_relay_is_limited(self):
-        """A relay forwards each push to all followers, so pushes must batch."""
+        """Guards against overloaded relays.
+
+        A relay forwards each push to all followers, so changes must be batched.
+        """
         seconds = 5.0
 
         async def count_relay_frames(site):
@@ -129,61 +139,64 @@
         frames = self._run(count_relay_frames, hosts=191, targets=44, domains=5)
         self.assertLess(frames, seconds * 40)
 
-    def test_hosts_of_a_lost_relay_miss_no_change(self):
-        """Renewals must return the changes that a relay did not forward."""
+    def test_followers_of_an_unreachable_relay_miss_no_change(self):
+        """Guards against lost changes when a relay stops forwarding.
+
+        Renewals must return the changes that the relay did not forward.
+        """
         every = 0.3
 
-        async def lose(site):
+        async def fail_relays(site):
             site.follow_relays()
             site.run_hosts(every=every, credit=0)
             await asyncio.sleep(3.0)
             relays = [host for host in site.hosts if host.followers]
-            freezing = asyncio.create_task(site.freeze(relays[0]))
-            late = 0
+            freezing = asyncio.create_task(site.freeze_host(relays[0]))
+            missing = 0
             for number in range(30):
                 await site.report("t1", loaded=(f"m{number}",))
                 await asyncio.sleep(2 * every)
-                late += sum(
+                missing += sum(
                     "t1" not in host.targets
                     or host.targets["t1"].said.loaded[0].model != f"m{number}"
                     for host in site.hosts
                     if not host.is_frozen
                 )
             await freezing
-            return late
+            return missing
 
-        self.assertEqual(self._run(lose, hosts=60, domains=5), 0)
+        self.assertEqual(self._run(fail_relays, hosts=60, domains=5), 0)
 
-    def test_a_document_is_in_force_in_time_when_relays_are_lost(self):
-        """A confirmed change must not wait for a relay that has stopped."""
+    def test_a_document_is_in_force_in_time_when_relays_fail(self):
+        """Guards against a document that is late when relays have stopped."""
 
-        async def lose(site):
+        async def fail_relays(site):
             site.follow_relays()
             site.run_hosts(every=0.3, credit=0)
             await asyncio.sleep(3.0)
             relays = [host for host in site.hosts if host.followers]
             freezing = [
-                asyncio.create_task(site.freeze(host)) for host in relays
+                asyncio.create_task(site.freeze_host(host)) for host in relays
             ]
-            late = []
+            delays = []
             for version in range(1, 6):
-                confirmed = await site.apply(version)
+                confirmed_at = await site.apply_document(version)
                 await asyncio.sleep(1.0)
-                late += [
-                    host.version_at.get(version, float("inf")) - confirmed
+                delays += [
+                    host.version_at.get(version, float("inf")) - confirmed_at
                     for host in site.hosts
                     if not host.is_frozen
                 ]
             await asyncio.gather(*freezing)
-            return late
+            return delays
 
-        late = self._run(lose, hosts=60, domains=5)
-        self.assertLess(max(late), leader_site.SETTINGS.bounds.config)
+        delays = self._run(fail_relays, hosts=60, domains=5)
+        self.assertLess(max(delays), leader_site.SETTINGS.bounds.config)
 
-    def test_followers_are_told_what_runs_where(self):
-        """Followers without current loads would overload a single target."""
+    def test_followers_receive_current_target_loads(self):
+        """Guards against followers that overload a target for lack of loads."""
 
-        async def serve(site):
+        async def collect_loads(site):
             site.follow_relays()
             site.run_hosts(every=0.3, credit=0)
             await asyncio.sleep(6.0)
@@ -193,64 +206,67 @@
                 if host.relay
             ]
 
-        heard = self._run(serve, hosts=60, domains=5)
-        self.assertTrue(heard)
-        self.assertTrue(all(heard))
+        is_current = self._run(collect_loads, hosts=60, domains=5)
+        self.assertTrue(is_current)
+        self.assertTrue(all(is_current))
 
-    def test_a_flood_of_requests_for_credit_does_not_silence_the_leader(self):
-        """A team at many times its rate must not cost the site its leader."""
+    def test_credit_request_bursts_leave_the_leader_responsive(self):
+        """Guards against elections caused by a team at many times its rate."""
 
-        async def flood(site):
+        async def apply_load(site):
             site.run_hosts(every=0.3, credit=1500)
             site.run_targets(changes=20)
             await asyncio.sleep(5.0)
             return site
 
-        site = self._run(flood)
-        self.assertLess(site.latest, SILENCE_SECONDS)
+        site = self._run(apply_load)
+        self.assertLess(site.max_loop_lag, SILENCE_SECONDS)
         self.assertEqual(site.unanswered, 0)
 
-    def test_hosts_that_all_start_anew_do_not_silence_the_leader(self):
-        """Many hosts that come back at once must not bring the leader down."""
+    def test_a_restart_of_all_hosts_leaves_the_leader_responsive(self):
+        """Guards against elections caused by many hosts that reconnect."""
 
-        async def herd(site):
+        async def restart_hosts(site):
             site.run_hosts(every=0.3, credit=0)
             site.run_targets(changes=0)
             await asyncio.sleep(4.0)
-            site.latest = 0.0
+            site.max_loop_lag = 0.0
             for host in site.hosts:
                 host.incarnation += 1
             await asyncio.sleep(4.0)
             return site
 
-        site = self._run(herd)
-        self.assertLess(site.latest, SILENCE_SECONDS)
+        site = self._run(restart_hosts)
+        self.assertLess(site.max_loop_lag, SILENCE_SECONDS)
         self.assertEqual(site.unanswered, 0)
 
     def test_a_document_is_in_force_in_time_while_targets_change(self):
-        """A confirmed change must not wait behind news of targets."""
+        """Guards against a document that is queued behind target updates."""
 
-        async def changed(site):
+        async def apply_load(site):
             site.run_hosts(every=0.3, credit=300)
             site.run_targets(changes=40)
             await asyncio.sleep(4.0)
-            late = []
+            delays = []
             for version in range(1, 6):
-                confirmed = await site.apply(version)
+                confirmed_at = await site.apply_document(version)
                 await asyncio.sleep(1.0)
-                late += [
-                    host.version_at.get(version, float("inf")) - confirmed
+                delays += [
+                    host.version_at.get(version, float("inf")) - confirmed_at
                     for host in site.hosts
                 ]
-            return late
+            return delays
 
-        late = self._run(changed)
-        self.assertLess(max(late), leader_site.SETTINGS.bounds.config)
+        delays = self._run(apply_load)
+        self.assertLess(max(delays), leader_site.SETTINGS.bounds.config)
 
     def test_each_host_is_sent_a_document_once(self):
-        """Renewals that cross a change must not bring it again to all hosts."""
+        """Guards against sending a document twice.
+
+        A renewal that crosses the push must not return the document again.
+        """
 
-        async def storm(site):
+        async def renew_during_changes(site):
             site.run_hosts(every=0.3, credit=400)
             await asyncio.sleep(4.0)
             for version in range(1, 8):
@@ -258,98 +274,116 @@
                     asyncio.create_task(site.renew(host)) for host in site.hosts
                 ]
                 await asyncio.sleep(0)
-                await site.apply(version, routes=200)
+                await site.apply_document(version, routes=200)
                 await asyncio.gather(*renewals)
             return [host.documents for host in site.hosts]
 
-        self.assertEqual(self._run(storm), [7] * HOSTS)
+        self.assertEqual(self._run(renew_during_changes), [7] * HOSTS)
 
-    def test_a_host_that_lost_a_document_gets_it_by_a_renewal(self):
-        """A push may be lost; the change must be in force all the same."""
+    def test_a_host_that_missed_a_document_receives_it_with_a_renewal(self):
+        """Guards against a document that never arrives after a lost push."""
 
-        async def lost(site):
+        async def miss_push(site):
             site.run_hosts(every=0.3, credit=0)
             await asyncio.sleep(4.0)
             host = site.hosts[7]
             host.is_cut_off = True
-            applying = asyncio.create_task(site.apply(1))
+            applying = asyncio.create_task(site.apply_document(1))
             await asyncio.sleep(0.05)
             host.is_cut_off = False
-            begun = site.loop.time()
+            started_at = site.loop.time()
             await applying
-            return host.version_at[1] - begun
+            return host.version_at[1] - started_at
 
         bounds = leader_site.SETTINGS.bounds
-        self.assertLess(self._run(lost), bounds.config / 2)
+        self.assertLess(self._run(miss_push), bounds.config / 2)
+
+    def test_no_host_uses_an_older_document_past_the_bound(self):
+        """Guards against confirming a document while a lease lacks it.
 
-    def test_no_host_acts_on_an_older_document_past_the_bound(self):
-        """A change must not be confirmed while a lease without it runs on."""
+        The isolated host may serve with the older document until its lease
+        ends.
+        """
 
-        async def cut(site):
+        async def isolate_host(site):
             site.run_hosts(every=0.3, credit=0)
             await asyncio.sleep(5.0)
-            lost = site.hosts[7]
-            lost.is_cut_off = True
-            confirmed = await site.apply(1)
-            self.assertNotIn(1, lost.version_at)
-            return lost.lease_until - confirmed
+            isolated = site.hosts[7]
+            isolated.is_cut_off = True
+            confirmed_at = await site.apply_document(1)
+            self.assertNotIn(1, isolated.version_at)
+            return isolated.lease_until - confirmed_at
 
         bounds = leader_site.SETTINGS.bounds
-        self.assertLessEqual(self._run(cut), bounds.config)
+        self.assertLessEqual(self._run(isolate_host), bounds.config)
 
     def test_a_new_leader_confirms_no_change_that_hosts_may_lack(self):
-        """Hosts that have not found it act on what the one before gave."""
+        """Guards against a confirmation before the old leader's leases end.
 
-        async def anew(site):
-            begun = site.loop.time()
-            confirmed = await site.apply(1)
-            return begun + leader_site.SETTINGS.lease_seconds - confirmed
+        Hosts that have not connected to the new leader use the configuration
+        from its predecessor.
+        """
+
+        async def apply_without_hosts(site):
+            started_at = site.loop.time()
+            confirmed_at = await site.apply_document(1)
+            return (
+                started_at + leader_site.SETTINGS.lease_seconds - confirmed_at
+            )
 
         bounds = leader_site.SETTINGS.bounds
-        self.assertLessEqual(self._run(anew), bounds.config)
+        self.assertLessEqual(self._run(apply_without_hosts), bounds.config)
 
     def test_operators_wait_no_longer_than_hosts_need(self):
-        async def calm(site):
+        """Guards against confirmations long after the last host is updated."""
+
+        async def apply_load(site):
             site.run_hosts(every=0.3, credit=150)
             site.run_targets(changes=40)
             await asyncio.sleep(5.0)
-            begun = site.loop.time()
-            confirmed = await site.apply(1)
-            late = max(host.version_at[1] for host in site.hosts)
-            return confirmed - begun, confirmed - late
+            started_at = site.loop.time()
+            confirmed_at = await site.apply_document(1)
+            last_host_at = max(host.version_at[1] for host in site.hosts)
+            return confirmed_at - started_at, confirmed_at - last_host_at
 
-        waited, after_last = self._run(calm)
+        waited, after_last = self._run(apply_load)
         self.assertGreaterEqual(after_last, 0.0)
         self.assertLess(waited, leader_site.SETTINGS.renew_seconds)
 
-    def test_no_host_sends_to_a_leaving_target_past_the_bound(self):
-        """A target must not be let go while a lease without its word runs."""
+    def test_no_host_sends_to_a_draining_target_past_the_bound(self):
+        """Guards against confirming a drain while a lease lacks it.
 
-        async def cut(site):
+        The isolated host may send requests to the target until its lease ends.
+        """
+
+        async def isolate_host(site):
             site.run_hosts(every=0.3, credit=0)
             site.run_targets(changes=0)
             await asyncio.sleep(5.0)
-            lost = site.hosts[7]
-            lost.is_cut_off = True
-            confirmed = await site.leave("t1")
-            self.assertFalse(lost.targets["t1"].said.draining)
-            return lost.lease_until - confirmed
+            isolated = site.hosts[7]
+            isolated.is_cut_off = True
+            confirmed_at = await site.drain_target("t1")
+            self.assertFalse(isolated.targets["t1"].said.draining)
+            return isolated.lease_until - confirmed_at
 
         bounds = leader_site.SETTINGS.bounds
-        self.assertLessEqual(self._run(cut), bounds.drain)
+        self.assertLessEqual(self._run(isolate_host), bounds.drain)
+
+    def test_a_draining_target_waits_no_longer_than_hosts_need(self):
+        """Guards against drain reports that are repeated.
 
-    def test_a_leaving_target_waits_no_longer_than_hosts_need(self):
-        """Its report must be answered within a second, or it asks again."""
+        A target repeats a report that is not answered within a second.
+        """
 
-        async def calm(site):
+        async def apply_load(site):
             site.run_hosts(every=0.3, credit=150)
             site.run_targets(changes=40)
             await asyncio.sleep(5.0)
-            begun = site.loop.time()
-            confirmed = await site.leave("t1")
+            started_at = site.loop.time()
+            confirmed_at = await site.drain_target("t1")
             self.assertTrue(
                 all(host.targets["t1"].said.draining for host in site.hosts)
             )
-            return confirmed - begun
+            return confirmed_at - started_at
 
-        self.assertLess(self._run(calm), 1.0)
+        self.assertLess(self._run(apply_load), 1.0)
