--- a/tests/test_seat.py
+++ b/tests/test_seat.py
@@ -1,6 +1,6 @@
-"""The seat of the host that places models: who holds it, and when it may order.
+"""Tests of the planner lease: which host holds it, and when it may order.
 
-Leaders, holders and their questions are objects; time is moved by hand.
+Leaders and holders are objects in one process, and the clock is set by hand.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 
 from tests import test_site_planner
 
-PAUSE = 3.0
+PAUSE_SECONDS = 3.0
 MEMBERS = members_lib.Members(
     voters=tuple(members_lib.Member(f"m{n}", "", f"a{n}") for n in range(2)),
     learners=(members_lib.Member("m2", "", "a2"),),
@@ -29,7 +29,7 @@
 
 
 class Log:
-    """The replicated log, as every leader has it."""
+    """Replicated log, shared by all leaders of a test."""
 
     def __init__(self):
         self.state = state_lib.State()
@@ -40,257 +40,297 @@
         return self.state.apply(1, command)
 
 
-class SeatTest(unittest.IsolatedAsyncioTestCase):
+class PlannerLeaseManagerTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         self.now = 100.0
-        patch = mock.patch.object(clock, "now", lambda: self.now)
-        patch.start()
-        self.addCleanup(patch.stop)
-        poll = mock.patch.object(
+        clock_patch = mock.patch.object(clock, "now", lambda: self.now)
+        clock_patch.start()
+        self.addCleanup(clock_patch.stop)
+        poll_patch = mock.patch.object(
             planner_lease_manager, "_POLL_TIMEOUT_SECONDS", 0.0
         )
-        poll.start()
-        self.addCleanup(poll.stop)
+        poll_patch.start()
+        self.addCleanup(poll_patch.stop)
         self.log = Log()
         self.sessions = {}
         self.changed = []
-        self.desk = self._lead("m0")
+        self.manager = self._create_manager("m0")
 
-    def _lead(self, host):
+    def _create_manager(self, host):
         self.log.term += 1
         return planner_lease_manager.PlannerLeaseManager(
             host=host,
             replicator=self.log,
-            pause=PAUSE,
+            pause=PAUSE_SECONDS,
             sessions=lambda: self.sessions,
             changed=self.changed.extend,
         )
 
-    async def _ask(self, host, position=None):
-        return await self.desk.ask(
+    async def _request_lease(self, host, position=None):
+        return await self.manager.ask(
             site_messages.AskSeat(
                 host=host, position=position or site_messages.Position()
             )
         )
 
-    async def test_the_first_seat_goes_to_a_host_that_will_not_lead(self):
-        """The leader dies, and a voter takes over; orders go on meanwhile."""
-        self.assertEqual("", (await self._ask("m0@a0")).holder)
-        self.assertEqual("", (await self._ask("m1@a1")).holder)
-        told = await self._ask("m2@a2")
-        self.assertEqual("m2@a2", told.holder)
-        self.assertEqual(0.0, told.wait)
+    async def test_the_first_lease_goes_to_a_learner(self):
+        """Guards against stopped orders when the leader fails.
 
-    async def test_a_leader_without_others_takes_it_after_a_while(self):
+        A voter takes over the lead. The holder is neither the leader nor a
+        voter, so it is not affected.
+        """
+        self.assertEqual("", (await self._request_lease("m0@a0")).holder)
+        self.assertEqual("", (await self._request_lease("m1@a1")).holder)
+        answer = await self._request_lease("m2@a2")
+        self.assertEqual("m2@a2", answer.holder)
+        self.assertEqual(0.0, answer.wait)
+
+    async def test_a_leader_without_other_hosts_acquires_the_lease(self):
+        """Guards against a site that places no models for lack of a holder."""
         for _ in range(2):
-            self.assertEqual("", (await self._ask("m0")).holder)
+            self.assertEqual("", (await self._request_lease("m0")).holder)
             self.now += 0.7
-        self.assertEqual("m0", (await self._ask("m0")).holder)
+        self.assertEqual("m0", (await self._request_lease("m0")).holder)
 
-    async def test_a_lost_leader_stops_no_orders(self):
-        """Callers wait for a model while the leader dies.
+    async def test_orders_continue_without_a_leader(self):
+        """Guards against models that are not loaded while a leader is elected.
 
-        The holder goes on by its lease; the next leader finds it in the log
-        and gives it the next lease at once. Without the seat each new leader
-        waited out a pause of its own, and nothing was loaded for 3.4 s.
+        The holder continues under its lease. The next leader finds the holder
+        in the log and immediately grants it the next lease. Without the planner
+        lease each new leader waited for a pause of its own, and nothing was
+        loaded for 3.4 s.
         """
-        first = await self._ask("m1")
+        first_answer = await self._request_lease("m1")
         self.now += 1.3
-        self.desk = self._lead("m2")
-        again = await self._ask("m1")
-        self.assertEqual("m1", again.holder)
-        self.assertEqual(first.fence, again.fence)
-        self.assertEqual(0.0, again.wait)
-        self.assertGreater(first.seconds, 1.3)
-
-    async def test_a_new_holder_waits(self):
-        """An engine never sees two holders close together.
-
-        The holder dies; another gets the seat only once its lease is surely
-        over, and orders nothing for the whole pause after that.
+        self.manager = self._create_manager("m2")
+        next_answer = await self._request_lease("m1")
+        self.assertEqual("m1", next_answer.holder)
+        self.assertEqual(first_answer.fence, next_answer.fence)
+        self.assertEqual(0.0, next_answer.wait)
+        self.assertGreater(first_answer.seconds, 1.3)
+
+    async def test_a_new_holder_waits_for_lease_end_and_pause(self):
+        """Guards against orders of two holders to an engine in a short time.
+
+        The holder fails. Another host acquires the lease only after the
+        previous lease has expired, and sends no orders for the full pause after
+        that.
         """
-        old = await self._ask("m1")
-        self.now += old.seconds
+        old_answer = await self._request_lease("m1")
+        self.now += old_answer.seconds
         lease_end = self.now
-        self.assertEqual("m1", (await self._ask("m2")).holder)
+        self.assertEqual("m1", (await self._request_lease("m2")).holder)
         self.now += 0.5
-        new = await self._ask("m2")
-        self.assertEqual("m2", new.holder)
-        self.assertGreater(new.fence, old.fence)
-        self.assertGreaterEqual(self.now + new.wait, lease_end + PAUSE)
+        new_answer = await self._request_lease("m2")
+        self.assertEqual("m2", new_answer.holder)
+        self.assertGreater(new_answer.fence, old_answer.fence)
+        self.assertGreaterEqual(
+            self.now + new_answer.wait, lease_end + PAUSE_SECONDS
+        )
 
-    async def test_models_are_placed_soon_after_the_holder_is_lost(self):
+    async def test_models_are_placed_soon_after_the_holder_fails(self):
         """Guards against late placement of models after demand moves."""
-        await self._ask("m1")
-        lost_at = self.now
-        new = await self._ask("m2")
-        while new.holder != "m2":
+        await self._request_lease("m1")
+        holder_lost_at = self.now
+        new_answer = await self._request_lease("m2")
+        while new_answer.holder != "m2":
             self.now += 0.1
-            new = await self._ask("m2")
-        self.assertLess(self.now + new.wait, lost_at + PAUSE + 2.0)
+            new_answer = await self._request_lease("m2")
+        self.assertLess(
+            self.now + new_answer.wait, holder_lost_at + PAUSE_SECONDS + 2.0
+        )
 
-    async def test_the_first_holder_in_an_old_log_waits(self):
-        """Hosts are restarted with a new version, one after the other.
+    async def test_the_first_holder_in_an_older_versions_log_waits(self):
+        """Guards against orders of two hosts during an upgrade.
 
-        The leader before has ordered loads itself until just now, and the log
-        names no holder yet.
+        Hosts are restarted with a new version one by one. The previous leader
+        has sent orders itself until now, and the log contains no holder yet.
         """
         self.log.replica.first_own = 700
-        told = await self._ask("m2")
-        self.assertEqual("m2", told.holder)
-        self.assertGreaterEqual(told.wait, PAUSE)
+        answer = await self._request_lease("m2")
+        self.assertEqual("m2", answer.holder)
+        self.assertGreaterEqual(answer.wait, PAUSE_SECONDS)
 
-    async def test_a_pause_outlives_the_leader_that_began_it(self):
-        """Engines see no second holder early because a leader is lost too.
+    async def test_a_pause_outlives_the_leader_that_started_it(self):
+        """Guards against a shortened pause when the leader fails too.
 
-        A holder is lost; its successor waits, and the leader that appointed it
-        dies. The next one does not know when that was, and begins the pause
-        anew; once it is over that is in the log, for all later leaders.
+        A holder fails, its successor waits, and the leader that appointed the
+        successor fails. The next leader has no record of the appointment's time
+        and restarts the pause. The end of the pause is recorded in the log for
+        all later leaders.
         """
-        old = await self._ask("m1")
-        self.now += old.seconds + 0.5
-        self.assertEqual("m2", (await self._ask("m2")).holder)
+        old_answer = await self._request_lease("m1")
+        self.now += old_answer.seconds + 0.5
+        self.assertEqual("m2", (await self._request_lease("m2")).holder)
         self.now += 0.5
-        self.desk = self._lead("m0")
-        self.assertGreaterEqual((await self._ask("m2")).wait, PAUSE)
+        self.manager = self._create_manager("m0")
+        self.assertGreaterEqual(
+            (await self._request_lease("m2")).wait, PAUSE_SECONDS
+        )
         for _ in range(9):
             self.now += 0.5
-            told = await self._ask("m2")
-        self.assertEqual(0.0, told.wait)
-        self.desk = self._lead("m1")
-        self.assertEqual(0.0, (await self._ask("m2")).wait)
-
-    async def test_a_new_leader_replaces_nobody_whose_lease_may_run(self):
-        """It does not know when the leader before gave the last lease."""
-        await self._ask("m1")
+            answer = await self._request_lease("m2")
+        self.assertEqual(0.0, answer.wait)
+        self.manager = self._create_manager("m1")
+        self.assertEqual(0.0, (await self._request_lease("m2")).wait)
+
+    async def test_a_new_leader_replaces_no_holder_with_a_valid_lease(
+        self,
+    ):
+        """Guards against two holders with valid leases.
+
+        A new leader has no record of when its predecessor granted the last
+        lease.
+        """
+        await self._request_lease("m1")
         self.now += 10.0
-        self.desk = self._lead("m2")
-        self.assertEqual("m1", (await self._ask("m2")).holder)
-
-    async def test_a_machine_that_takes_a_lost_ones_name_is_another(self):
-        """It bears the name, but engines see orders of two machines."""
-        lost = test_site_planner.settings()
-        other = lost._replace(peers="tcp://10.0.0.2:1")
-        self.assertNotEqual(lost.machine, other.machine)
-
-    async def test_the_feed_tells_each_item_once(self):
-        """What is appended while a question waits goes along with it."""
-        told = await self._ask("m1")
-        self.assertTrue(told.fresh)
-        self.desk.missing(site_messages.Missing(host="e1", demand=()))
-        told = await self._ask("m1", told.position)
-        self.assertFalse(told.fresh)
-        self.assertEqual(1, len(told.items))
-        told = await self._ask("m1", told.position)
-        self.assertEqual((), told.items)
-
-    async def test_a_holder_that_missed_items_begins_anew(self):
-        """More came than is kept; what it knows would have a gap."""
-        said = registry_lib.Registration(
+        self.manager = self._create_manager("m2")
+        self.assertEqual("m1", (await self._request_lease("m2")).holder)
+
+    async def test_a_replacement_machine_has_its_own_identity(
+        self,
+    ):
+        """Guards against two machines with one identity.
+
+        A machine that replaces a failed one takes its name, but engines receive
+        orders from two machines.
+        """
+        original = test_site_planner.settings()
+        replacement = original._replace(peers="tcp://10.0.0.2:1")
+        self.assertNotEqual(original.machine, replacement.machine)
+
+    async def test_each_feed_item_is_sent_once(self):
+        """Guards against feed items that are lost or repeated.
+
+        An item is appended between two requests of the holder.
+        """
+        answer = await self._request_lease("m1")
+        self.assertTrue(answer.fresh)
+        self.manager.missing(site_messages.Missing(host="e1", demand=()))
+        answer = await self._request_lease("m1", answer.position)
+        self.assertFalse(answer.fresh)
+        self.assertEqual(1, len(answer.items))
+        answer = await self._request_lease("m1", answer.position)
+        self.assertEqual((), answer.items)
+
+    async def test_a_holder_that_missed_items_receives_a_full_feed(self):
+        """Guards against a gap in the holder's state.
+
+        More items are appended between two requests than the leader keeps.
+        """
+        registration = registry_lib.Registration(
             name="t1", service="s", address="a", domain="d"
         )
-        self.sessions["t1"] = registry_lib.Session(said, 0.0)
-        told = await self._ask("m1")
+        self.sessions["t1"] = registry_lib.Session(registration, 0.0)
+        answer = await self._request_lease("m1")
         for _ in range(planner_lease_manager._MAX_FEED_ITEMS + 1):
-            self.desk.missing(site_messages.Missing(host="e1", demand=()))
-        told = await self._ask("m1", told.position)
-        self.assertTrue(told.fresh)
+            self.manager.missing(site_messages.Missing(host="e1", demand=()))
+        answer = await self._request_lease("m1", answer.position)
+        self.assertTrue(answer.fresh)
         reports = [
             item
-            for item in told.items
+            for item in answer.items
             if isinstance(item, site_messages.FedReport)
         ]
-        self.assertEqual([said], [item.said for item in reports])
+        self.assertEqual([registration], [item.said for item in reports])
 
-    async def test_an_older_notice_changes_nothing(self):
-        """Two notices overtake each other on their way to the leader.
+    async def test_an_outdated_placement_update_is_ignored(self):
+        """Guards against requests for a model that is being unloaded.
 
-        Entry hosts would send requests for a model that is being unloaded.
+        Two placement updates reach the leader in the wrong order.
         """
-        fence = (await self._ask("m1")).fence
-        said = registry_lib.Registration(
+        fence = (await self._request_lease("m1")).fence
+        registration = registry_lib.Registration(
             name="t1", service="s", address="a", domain="d"
         )
-        self.sessions["t1"] = registry_lib.Session(said, 0.0)
+        self.sessions["t1"] = registry_lib.Session(registration, 0.0)
         for number, closing in ((2, ("m",)), (1, ())):
-            notice = site_messages.Notice(
+            update = site_messages.Notice(
                 target="t1", number=number, closing=closing
             )
-            self.desk.told(
-                site_messages.TellNotices(fence=fence, notices=(notice,))
+            self.manager.told(
+                site_messages.TellNotices(fence=fence, notices=(update,))
             )
-        self.assertEqual(("m",), self.desk.notice("t1").closing)
+        self.assertEqual(("m",), self.manager.notice("t1").closing)
         self.assertEqual(["t1"], self.changed)
 
-    async def test_a_new_holders_lower_notice_number_is_accepted(self):
-        """Guards against dropping a new holder's notices as outdated."""
-        told = await self._ask("m1")
-        old_fence = told.fence
-        said = registry_lib.Registration(
+    async def test_a_lower_update_number_of_a_new_holder_is_accepted(self):
+        """Guards against dropping a new holder's updates as outdated."""
+        answer = await self._request_lease("m1")
+        old_fence = answer.fence
+        registration = registry_lib.Registration(
             name="t1", service="s", address="a", domain="d"
         )
-        self.sessions["t1"] = registry_lib.Session(said, 0.0)
-        self._send_notice(old_fence, 9_000_000, adapters=("m/a1",))
-        self.now += told.seconds + 0.5
-        new_fence = (await self._ask("m2")).fence
+        self.sessions["t1"] = registry_lib.Session(registration, 0.0)
+        self._send_update(old_fence, 9_000_000, adapters=("m/a1",))
+        self.now += answer.seconds + 0.5
+        new_fence = (await self._request_lease("m2")).fence
         self.assertGreater(new_fence, old_fence)
-        self._send_notice(new_fence, 5, adapters=("m/a2",))
-        self.assertEqual(("m/a2",), self.desk.notice("t1").adapters)
-        self._send_notice(new_fence, 4, adapters=("m/a3",))
-        self.assertEqual(("m/a2",), self.desk.notice("t1").adapters)
+        self._send_update(new_fence, 5, adapters=("m/a2",))
+        self.assertEqual(("m/a2",), self.manager.notice("t1").adapters)
+        self._send_update(new_fence, 4, adapters=("m/a3",))
+        self.assertEqual(("m/a2",), self.manager.notice("t1").adapters)
         self.assertEqual(["t1", "t1"], self.changed)
 
-    async def test_a_new_leader_keeps_notices_of_unreported_targets(self):
+    async def test_a_new_leader_keeps_updates_of_unreported_targets(self):
         """Guards against losing a target's adapters on a change of leader."""
-        told = await self._ask("m1")
-        self._send_notice(told.fence, 1, adapters=("m/a1",))
-        self.desk.set_targets((), complete=False)
-        self.assertEqual(("m/a1",), self.desk.notice("t1").adapters)
-        self.desk.set_targets((), complete=True)
-        self.assertEqual((), self.desk.notice("t1").adapters)
-
-    def _send_notice(self, fence, number, **fields):
-        notice = site_messages.Notice(target="t1", number=number, **fields)
-        self.desk.told(
-            site_messages.TellNotices(fence=fence, notices=(notice,))
+        answer = await self._request_lease("m1")
+        self._send_update(answer.fence, 1, adapters=("m/a1",))
+        self.manager.set_targets((), complete=False)
+        self.assertEqual(("m/a1",), self.manager.notice("t1").adapters)
+        self.manager.set_targets((), complete=True)
+        self.assertEqual((), self.manager.notice("t1").adapters)
+
+    def _send_update(self, fence, number, **fields):
+        update = site_messages.Notice(target="t1", number=number, **fields)
+        self.manager.told(
+            site_messages.TellNotices(fence=fence, notices=(update,))
         )
 
-    async def test_an_old_holders_notice_changes_nothing(self):
-        fence = (await self._ask("m1")).fence
-        notice = site_messages.Notice(target="t1", number=9, closing=("m",))
-        self.desk.told(
-            site_messages.TellNotices(fence=fence - 1, notices=(notice,))
+    async def test_a_placement_update_of_a_previous_holder_is_ignored(self):
+        """Guards against decisions of a host that has lost the lease."""
+        fence = (await self._request_lease("m1")).fence
+        update = site_messages.Notice(target="t1", number=9, closing=("m",))
+        self.manager.told(
+            site_messages.TellNotices(fence=fence - 1, notices=(update,))
         )
-        self.assertEqual((), self.desk.notice("t1").closing)
-
-
-class RecordTest(unittest.TestCase):
-    def test_of_two_appointments_the_first_holds(self):
-        """Two leaders in a row appoint; the second did not know the first."""
-        seat = record_lib.Seat()
-        seat.apply(record_lib.Appoint(holder="a", after=0, term=3))
-        seat.apply(record_lib.Appoint(holder="b", after=0, term=4))
-        self.assertEqual("a", seat.record.holder)
-        self.assertEqual(3, seat.record.fence)
-
-    def test_a_fence_is_above_the_one_before_and_not_below_the_term(self):
-        seat = record_lib.Seat()
-        seat.apply(record_lib.Appoint(holder="a", after=0, term=3))
-        seat.apply(record_lib.Appoint(holder="b", after=3, term=3))
-        self.assertEqual(4, seat.record.fence)
-        seat.apply(record_lib.Appoint(holder="a", after=4, term=9))
-        self.assertEqual(9, seat.record.fence)
-
-    def test_only_the_holder_of_the_fence_is_settled(self):
-        seat = record_lib.Seat()
-        seat.apply(record_lib.Appoint(holder="a", after=0, term=3))
-        seat.apply(record_lib.Appoint(holder="b", after=3, term=3))
-        seat.apply(record_lib.Settle(fence=3))
-        self.assertFalse(seat.record.settled)
-        seat.apply(record_lib.Settle(fence=4))
-        self.assertTrue(seat.record.settled)
-
-    def test_it_survives_a_snapshot(self):
+        self.assertEqual((), self.manager.notice("t1").closing)
+
+
+class LeaseRecordTest(unittest.TestCase):
+    def test_the_first_of_two_concurrent_appointments_is_kept(self):
+        """Guards against two holders when leaders appoint concurrently.
+
+        The second leader proposes its appointment before it has applied the
+        first one.
+        """
+        lease = record_lib.Seat()
+        lease.apply(record_lib.Appoint(holder="a", after=0, term=3))
+        lease.apply(record_lib.Appoint(holder="b", after=0, term=4))
+        self.assertEqual("a", lease.record.holder)
+        self.assertEqual(3, lease.record.fence)
+
+    def test_fencing_tokens_increase_and_are_not_below_the_term(self):
+        """Guards against a fencing token that is used by two holders."""
+        lease = record_lib.Seat()
+        lease.apply(record_lib.Appoint(holder="a", after=0, term=3))
+        lease.apply(record_lib.Appoint(holder="b", after=3, term=3))
+        self.assertEqual(4, lease.record.fence)
+        lease.apply(record_lib.Appoint(holder="a", after=4, term=9))
+        self.assertEqual(9, lease.record.fence)
+
+    def test_only_the_holder_of_the_fencing_token_is_settled(self):
+        """Guards against a late record that ends the pause of a new holder."""
+        lease = record_lib.Seat()
+        lease.apply(record_lib.Appoint(holder="a", after=0, term=3))
+        lease.apply(record_lib.Appoint(holder="b", after=3, term=3))
+        lease.apply(record_lib.Settle(fence=3))
+        self.assertFalse(lease.record.settled)
+        lease.apply(record_lib.Settle(fence=4))
+        self.assertTrue(lease.record.settled)
+
+    def test_the_lease_record_survives_a_snapshot(self):
+        """Guards against a holder that is missing after a restart."""
         state = state_lib.State()
         state.apply(1, record_lib.Appoint(holder="a", after=0, term=3))
         other = state_lib.State()
@@ -299,7 +339,7 @@
 
 
 class Host:
-    """A host that asks for the seat, cut off and frozen at will."""
+    """A host that requests the lease; it can be cut off from the leader."""
 
     def __init__(self, name, test):
         self.name = name
@@ -307,20 +347,20 @@
         self.position = site_messages.Position()
         self.lease_until = float("-inf")
         self.orders_from = float("-inf")
-        self.cut = False
+        self.is_cut_off = False
 
     async def ask(self):
-        """Asks; the answer may take a while, and the lease runs meanwhile."""
-        if self.cut:
+        """Requests the lease, which is valid from the time of the request."""
+        if self.is_cut_off:
             return
-        asked = self.test.now
-        told = await self.test.desk.ask(
+        requested_at = self.test.now
+        answer = await self.test.manager.ask(
             site_messages.AskSeat(host=self.name, position=self.position)
         )
-        if told.holder == self.name:
-            self.position = told.position
-            self.lease_until = asked + told.seconds
-            self.orders_from = self.test.now + told.wait
+        if answer.holder == self.name:
+            self.position = answer.position
+            self.lease_until = requested_at + answer.seconds
+            self.orders_from = self.test.now + answer.wait
         else:
             self.lease_until = float("-inf")
 
@@ -329,7 +369,7 @@
         return self.orders_from <= self.test.now < self.lease_until
 
 
-class TurnsTest(unittest.TestCase):
+class SingleHolderTest(unittest.TestCase):
     @hypothesis.given(
         st.lists(
             st.tuples(
@@ -341,15 +381,15 @@
         )
     )
     @hypothesis.settings(max_examples=200)
-    def test_holders_never_take_turns_within_the_pause(self, events):
-        """Hosts are cut off, leaders come and go; all others keep asking.
+    def test_no_two_hosts_may_order_within_the_pause(self, events):
+        """Guards against orders of two hosts within the pause.
 
-        Whoever may order is the only one, and nobody else could order within
-        the pause before: engines would take both for the holder.
+        Hosts are cut off and leaders change while all other hosts keep
+        requesting the lease. Engines would accept both hosts as the holder.
         """
-        asyncio.run(self._play(events))
+        asyncio.run(self._run_events(events))
 
-    async def _play(self, events):
+    async def _run_events(self, events):
         self.now = 0.0
         with (
             mock.patch.object(clock, "now", lambda: self.now),
@@ -359,42 +399,42 @@
         ):
             log = Log()
             hosts = [Host(f"m{n}", self) for n in range(3)]
-            self.desk = self._lead(log, "m0")
-            last = {}
+            self.manager = self._create_manager(log, "m0")
+            last_order_times = {}
             for event, number, steps in events:
                 host = hosts[number]
                 if event == "lead":
                     log.term += 1
-                    self.desk = self._lead(log, host.name)
+                    self.manager = self._create_manager(log, host.name)
                 else:
-                    host.cut = event == "cut"
+                    host.is_cut_off = event == "cut"
                 for _ in range(steps):
-                    for each in hosts:
-                        await each.ask()
+                    for requester in hosts:
+                        await requester.ask()
                     self.now += 0.25
-                    self._check(hosts, last)
+                    self._check(hosts, last_order_times)
 
-    def _check(self, hosts, last):
+    def _check(self, hosts, last_order_times):
         for host in hosts:
             if not host.may_order:
                 continue
-            last[host.name] = self.now
-            for other, at in last.items():
+            last_order_times[host.name] = self.now
+            for other, at in last_order_times.items():
                 if other != host.name:
-                    self.assertGreaterEqual(self.now - at, PAUSE)
+                    self.assertGreaterEqual(self.now - at, PAUSE_SECONDS)
 
-    def _lead(self, log, host):
+    def _create_manager(self, log, host):
         return planner_lease_manager.PlannerLeaseManager(
             host=host,
             replicator=log,
-            pause=PAUSE,
+            pause=PAUSE_SECONDS,
             sessions=dict,
             changed=lambda names: None,
         )
 
 
-class HolderTest(unittest.IsolatedAsyncioTestCase):
-    """The holder's task, against a leader that answers by a script."""
+class PlannerHostTest(unittest.IsolatedAsyncioTestCase):
+    """Tests of the holder's task against a leader with scripted answers."""
 
     async def asyncSetUp(self):
         self.answers = asyncio.Queue()
@@ -415,49 +455,53 @@
             return await self.answers.get()
         return site_messages.Registered()
 
-    async def _until(self, condition):
+    async def _wait_until(self, condition):
         async with asyncio.timeout(20):
             while not condition():
                 await asyncio.sleep(0.001)
 
-    async def _grant(self, **fields):
-        told = {"holder": "m1", "fence": 5, "seconds": 60.0, **fields}
-        await self.answers.put(site_messages.ToldSeat(**told))
+    async def _put_answer(self, **fields):
+        grant = {"holder": "m1", "fence": 5, "seconds": 60.0, **fields}
+        await self.answers.put(site_messages.ToldSeat(**grant))
 
-    async def test_it_orders_only_while_its_lease_runs(self):
+    async def test_a_holder_orders_only_while_its_lease_is_valid(self):
+        """Guards against orders before the first lease or after the last."""
         self.assertFalse(self.seat.holds)
-        await self._grant()
-        await self._until(lambda: self.seat.holds)
-        await self._grant(seconds=0.0)
-        await self._until(lambda: not self.seat.holds)
-
-    async def test_it_orders_nothing_before_its_pause_has_passed(self):
-        await self._grant(wait=30.0)
-        await self._until(lambda: len(self.sent) > 1)
+        await self._put_answer()
+        await self._wait_until(lambda: self.seat.holds)
+        await self._put_answer(seconds=0.0)
+        await self._wait_until(lambda: not self.seat.holds)
+
+    async def test_a_holder_orders_nothing_before_its_pause_has_passed(self):
+        """Guards against orders soon after those of the previous holder."""
+        await self._put_answer(wait=30.0)
+        await self._wait_until(lambda: len(self.sent) > 1)
         self.assertFalse(self.seat.holds)
 
-    async def test_a_host_that_lost_the_seat_stops(self):
-        await self._grant()
-        await self._until(lambda: self.seat.holds)
-        await self._grant(holder="m2")
-        await self._until(lambda: not self.seat.holds)
+    async def test_a_host_that_lost_the_lease_stops(self):
+        """Guards against orders after another host has acquired the lease."""
+        await self._put_answer()
+        await self._wait_until(lambda: self.seat.holds)
+        await self._put_answer(holder="m2")
+        await self._wait_until(lambda: not self.seat.holds)
 
-    async def test_a_new_leader_is_told_everything(self):
-        """Entry hosts would send requests for what is about to be unloaded.
+    async def test_a_new_leader_receives_all_placement_updates(self):
+        """Guards against requests for a model that is about to be unloaded.
 
-        The leader's tables are soft: the next one knows no notice.
+        The leader's tables are soft state, so a new leader has no placement
+        updates.
         """
-        said = registry_lib.Registration(
+        registration = registry_lib.Registration(
             name="t1", service="s", address="a", domain="d"
         )
-        report = site_messages.FedReport(said=said)
+        report = site_messages.FedReport(said=registration)
         for term in (1, 2):
-            await self._grant(
+            await self._put_answer(
                 position=site_messages.Position(term, 1),
                 fresh=True,
                 items=(report,),
             )
-        await self._until(
+        await self._wait_until(
             lambda: (
                 sum(
                     isinstance(m, site_messages.TellNotices)
--- a/tests/test_table_news.py
+++ b/tests/test_table_news.py
@@ -1,4 +1,4 @@
-"""News of the leader's table: gathered, told once, never missed."""
+"""Tests of the leader's table updates: batched, pushed once, never missed."""
 
 import asyncio
 import unittest
@@ -18,36 +18,40 @@
 
 NAMES = ("t0", "t1", "t2")
 ENTRY = leader_site.SETTINGS._replace(name="e0", callers="127.0.0.1:0")
-# Lost news, and what is told after it, come more often than what heals.
-_KINDS = "change change change leave tell tell tell lose lose renew document"
+# Lost updates, and deliveries after them, are more frequent than the steps that
+# repair a table.
+_STEP_NAMES = (
+    "change change change remove deliver deliver deliver drop drop renew "
+    "document"
+)
 STEPS = st.tuples(
-    st.sampled_from([*_KINDS.split(), "whole", "elect"]),
+    st.sampled_from([*_STEP_NAMES.split(), "full", "elect"]),
     st.sampled_from(NAMES),
 )
 
 
 def target(name, number):
-    said = registry_lib.Registration(
+    registration = registry_lib.Registration(
         name=name, service="llm", address=name, domain="a", number=number
     )
-    return site_messages.Target(said=said)
+    return site_messages.Target(said=registration)
 
 
 class Leader:
-    """A table with its news; what is pushed waits to be delivered or lost."""
+    """A table with its updates; pushes wait to be delivered or dropped."""
 
     def __init__(self, *, term=1):
-        self.held = {}
+        self.table = {}
         self.number = 0
         self.pushed = []
-        self.news = table_updates.TableUpdates(
+        self.updates = table_updates.TableUpdates(
             term=term,
             push=self._push,
             peers=lambda: [b"e0"],
             direct_peers=lambda: [b"e0"],
-            target=self.held.get,
+            target=self.table.get,
             whole=lambda: table_updates.Table(
-                targets=tuple(self.held.values()), gone=(), complete=True
+                targets=tuple(self.table.values()), gone=(), complete=True
             ),
             limits=lambda names: (),
         )
@@ -56,134 +60,144 @@
         del peers
         self.pushed.append(message)
 
-    def change(self, name, *, gone=False):
+    def change(self, name, *, removed=False):
         self.number += 1
-        if gone:
-            self.held.pop(name, None)
+        if removed:
+            self.table.pop(name, None)
         else:
-            self.held[name] = target(name, self.number)
-        self.news.record_targets([name])
+            self.table[name] = target(name, self.number)
+        self.updates.record_targets([name])
 
 
-class TableNewsTest(unittest.TestCase):
+class TableUpdatesTest(unittest.TestCase):
     @hypothesis.settings(max_examples=300)
     @hypothesis.given(st.lists(STEPS, max_size=25))
-    def test_lost_and_crossed_news_leave_no_host_behind(self, steps):
-        """A host must not miss a change, nor go back, whatever is lost."""
+    def test_hosts_recover_from_lost_and_crossing_updates(self, steps):
+        """Guards against missed changes and against a return to older ones.
+
+        Updates are lost, are crossed by answers to renewals, or come from a new
+        leader.
+        """
 
         async def run():
             entry = entry_lib.Entry(
                 settings=ENTRY, names=names_lib.HeaderNames()
             )
             try:
-                await self._play(steps, entry)
+                await self._run_steps(steps, entry)
             finally:
                 await entry.close()
 
         with virtual_time.running() as runner:
             runner.run(run())
 
-    async def _play(self, steps, entry):
+    async def _run_steps(self, steps, entry):
         leader = Leader()
-        leader.news.start()
+        leader.updates.start()
         version = 0
-        seen = {}
+        last_numbers = {}
         for step, name in steps:
             match step:
                 case "change":
                     leader.change(name)
-                case "leave":
-                    leader.change(name, gone=True)
-                case "tell":
+                case "remove":
+                    leader.change(name, removed=True)
+                case "deliver":
                     await asyncio.sleep(0.3)
                     while leader.pushed:
                         entry._take_news(leader.pushed.pop(0))
-                case "lose":
+                case "drop":
                     await asyncio.sleep(0.3)
                     leader.pushed.clear()
                 case "renew":
-                    # The answer overtakes what is still on its way.
-                    self._renew(leader, entry)
-                case "whole":
-                    leader.news.require_full_table()
+                    # The answer overtakes updates that are still in flight.
+                    self._send_renewal(leader, entry)
+                case "full":
+                    leader.updates.require_full_table()
                 case "document":
                     version += 1
-                    leader.news.push_document(test_document.document(version))
+                    leader.updates.push_document(
+                        test_document.document(version)
+                    )
                 case "elect":
-                    await leader.news.close()
-                    after = Leader(term=leader.news.position.term + 1)
-                    after.held.update(leader.held)
-                    after.number = leader.number
-                    leader = after
-                    leader.news.start()
+                    await leader.updates.close()
+                    successor = Leader(term=leader.updates.position.term + 1)
+                    successor.table.update(leader.table)
+                    successor.number = leader.number
+                    leader = successor
+                    leader.updates.start()
             for known in entry._view.targets.values():
-                before = seen.get(known.said.name, 0)
+                before = last_numbers.get(known.said.name, 0)
                 self.assertGreaterEqual(known.said.number, before)
-                seen[known.said.name] = known.said.number
+                last_numbers[known.said.name] = known.said.number
         await asyncio.sleep(0.3)
-        self._renew(leader, entry)
-        for news in leader.pushed:
-            entry._take_news(news)
-        held = leader.held
+        self._send_renewal(leader, entry)
+        for update in leader.pushed:
+            entry._take_news(update)
+        expected = leader.table
         known = entry._view.targets
-        # Those gone before an election are dropped only after a while.
-        self.assertEqual({n: known.get(n) for n in held}, held)
-        await leader.news.close()
+        # Targets removed before an election are dropped from the host's table
+        # only after some time.
+        self.assertEqual({n: known.get(n) for n in expected}, expected)
+        await leader.updates.close()
 
-    def _renew(self, leader, entry):
-        news = leader.news.since(entry._position)
-        if news is not None:
-            entry._take_news(news)
+    def _send_renewal(self, leader, entry):
+        update = leader.updates.since(entry._position)
+        if update is not None:
+            entry._take_news(update)
 
-    def test_changes_are_gathered_while_hosts_are_told(self):
-        """The number of rounds must not grow with that of changes."""
+    def test_changes_during_a_push_are_batched(self):
+        """Guards against a number of pushes that grows with the changes."""
 
         async def run():
             leader = Leader()
             push = leader._push
 
-            async def slow(peers, message):
+            async def slow_push(peers, message):
                 await asyncio.sleep(0.02)
                 await push(peers, message)
 
-            leader.news._push = slow
-            leader.news.start()
-            begun = clock.now()
+            leader.updates._push = slow_push
+            leader.updates.start()
+            started_at = clock.now()
             for _ in range(300):
                 leader.change("t0")
                 leader.change("t1")
                 await asyncio.sleep(0.01)
-            seconds = clock.now() - begun
+            seconds = clock.now() - started_at
             await asyncio.sleep(1.0)
-            await leader.news.close()
+            await leader.updates.close()
             return seconds, leader.pushed
 
         with virtual_time.running() as runner:
             seconds, pushed = runner.run(run())
-        # A fifth of the loop's time, at 0.02 s a round.
+        # A fifth of the event loop's time, at 0.02 s for each push.
         self.assertLessEqual(len(pushed), seconds * 0.2 / 0.02 + 2)
         self.assertEqual(
             {t.said.name: t.said.number for t in pushed[-1].targets},
             {"t0": 599, "t1": 600},
         )
 
-    def test_a_renewal_that_crosses_news_is_answered_with_what_it_lacks(self):
-        """Answers must not grow with the table while it changes."""
+    def test_a_renewal_answer_contains_only_missing_changes(self):
+        """Guards against answers that grow with the size of the table."""
         leader = Leader()
         for number in range(100):
             leader.change(f"t{number}")
-        before = leader.news.position
+        position = leader.updates.position
         leader.change("t7")
-        news = leader.news.since(before)
-        self.assertEqual([t.said.name for t in news.targets], ["t7"])
+        update = leader.updates.since(position)
+        self.assertEqual([t.said.name for t in update.targets], ["t7"])
 
-    def test_a_host_from_before_a_gone_target_was_forgotten_gets_all(self):
+    def test_a_host_older_than_a_forgotten_removal_gets_the_full_table(self):
+        """Guards against removed targets that stay in a host's table."""
         leader = Leader()
         leader.change("t0")
-        old = leader.news.position
-        leader.change("t0", gone=True)
+        old_position = leader.updates.position
+        leader.change("t0", removed=True)
         leader.change("t1")
-        leader.news.forget_all_but({"t1"})
-        self.assertIsNone(leader.news.since(old).after)
-        news = leader.news.since(leader.news.position._replace(number=2))
-        self.assertEqual([t.said.name for t in news.targets], ["t1"])
+        leader.updates.forget_all_but({"t1"})
+        self.assertIsNone(leader.updates.since(old_position).after)
+        update = leader.updates.since(
+            leader.updates.position._replace(number=2)
+        )
+        self.assertEqual([t.said.name for t in update.targets], ["t1"])
