--- a/tests/test_limited_hosts.py
+++ b/tests/test_limited_hosts.py
@@ -1,8 +1,8 @@
-"""Entry hosts that share a target's limit, with real leaders that are lost.
+"""Tests of entry hosts that share a target's rate limit across elections.
 
-Each host decides by the product's own code; the leader is the product's, and
-messages take a millisecond. A host that is frozen or cut off is excused for
-what it sends until it is back, as operators' rules have it.
+Entry hosts and leaders run the product's own code; messages take a millisecond.
+As in the operators' rules, requests of a host that is frozen or cut off don't
+count against the limit until the host has recovered.
 """
 
 import asyncio
@@ -20,24 +20,25 @@
 from tests import leader_site
 from tests import virtual_time
 
-WAY_SECONDS = 0.001
-ANSWER_SECONDS = 0.05
+NETWORK_DELAY_SECONDS = 0.001
+TARGET_ANSWER_SECONDS = 0.05
 RENEW_SECONDS = 0.3
-# Hosts that were told so long ago must keep the limit.
-TOLD_SECONDS = 0.5
+# Requests of a host count against the limit from this time on after the host
+# first received the limit.
+LIMIT_IN_FORCE_SECONDS = 0.5
 WINDOW_SECONDS = 4.0
 
 
 class Target:
-    """Names a limit in its answers and notes what arrives."""
+    """A target that returns a limit in its answers and records requests."""
 
     def __init__(self, rate):
         self.born = 1
         self.rate = rate
-        self.arrived = []
+        self.arrivals = []
 
     @property
-    def said(self):
+    def registration(self):
         return registry_lib.Registration(
             name="t1",
             service="s",
@@ -49,93 +50,91 @@
 
 
 class Host:
-    """An entry host without callers, targets and sockets of its own."""
+    """An entry host without callers, targets or sockets of its own."""
 
     def __init__(self, site, number):
         self.name = f"e{number}"
-        self.told_at = float("inf")
+        self.limit_seen_at = float("inf")
         self.excused_until = 0.0
         self.frozen_until = 0.0
-        self.is_cut = False
+        self.is_cut_off = False
         self._site = site
         self._position = site_messages.Position()
         self._leader = None
-        self._renews = False
+        self._is_renewing = False
         self.limits = rate_limits_lib.RateLimits()
         self.sends = entry_rate_limits.EntryRateLimits(
-            limits=self.limits, watch=self, changed=self._poke
+            limits=self.limits, watch=self, changed=self._renew_soon
         )
 
-    def _poke(self):
-        self._site.run(self.renew())
+    def _renew_soon(self):
+        self._site.start_task(self.renew())
 
     async def ask(self, message, *, seconds):
-        """Stands for the session with the leader."""
-        await self._frozen()
-        leading = self._site.leading
-        if leading is None or self.is_cut:
+        """Sends a request to the leader; replaces the leader session."""
+        await self._wait_while_frozen()
+        leader = self._site.leading
+        if leader is None or self.is_cut_off:
             await asyncio.sleep(seconds)
             return None
-        await asyncio.sleep(WAY_SECONDS)
-        answer = await leading.handle(self.name.encode(), message)
-        await asyncio.sleep(WAY_SECONDS)
-        await self._frozen()
+        await asyncio.sleep(NETWORK_DELAY_SECONDS)
+        answer = await leader.handle(self.name.encode(), message)
+        await asyncio.sleep(NETWORK_DELAY_SECONDS)
+        await self._wait_while_frozen()
         return answer
 
-    async def _frozen(self):
+    async def _wait_while_frozen(self):
         while clock.now() < self.frozen_until:
             await asyncio.sleep(self.frozen_until - clock.now())
 
     async def renew(self):
-        if self._renews:
+        if self._is_renewing:
             return
-        self._renews = True
-        leading = self._site.leading
+        self._is_renewing = True
+        leader = self._site.leading
         host = site_messages.EntryHost(self.name, 1, "a", self.name, False)
         answer = await self.ask(
             site_messages.Renew(
                 host=host,
                 version=0,
                 position=self._position,
-                limits=self.sends.report(
-                    everything=leading is not self._leader
-                ),
+                limits=self.sends.report(everything=leader is not self._leader),
             ),
             seconds=0.4,
         )
-        self._renews = False
+        self._is_renewing = False
         if isinstance(answer, site_messages.Renewed):
-            self._leader = leading
+            self._leader = leader
             self.sends.reported()
             if answer.news is not None:
-                self.take(answer.news)
+                self.apply_update(answer.news)
 
-    def take(self, news):
-        if self.is_cut or clock.now() < self.frozen_until:
+    def apply_update(self, update):
+        if self.is_cut_off or clock.now() < self.frozen_until:
             return
-        self.sends.merge(news.limits)
-        if news.entries is not None:
-            self.sends.set_hosts(len(news.entries))
-        self._position = max(self._position, news.position)
+        self.sends.merge(update.limits)
+        if update.entries is not None:
+            self.sends.set_hosts(len(update.entries))
+        self._position = max(self._position, update.position)
 
     async def send(self):
-        """One request, if the limit allows; else it goes elsewhere."""
+        """Sends one request if the limit permits; otherwise sends none."""
         target = self._site.target
-        said = target.said
-        if await self.sends.permit(said, 1.0) is not None:
+        registration = target.registration
+        if await self.sends.permit(registration, 1.0) is not None:
             return
-        await self._frozen()
+        await self._wait_while_frozen()
         now = clock.now()
-        told = now - self.told_at >= TOLD_SECONDS
-        target.arrived.append((now, told and now >= self.excused_until))
+        has_limit = now - self.limit_seen_at >= LIMIT_IN_FORCE_SECONDS
+        target.arrivals.append((now, has_limit and now >= self.excused_until))
         rate = target.rate
-        await asyncio.sleep(ANSWER_SECONDS)
-        await self._frozen()
-        if said.born != target.born:
+        await asyncio.sleep(TARGET_ANSWER_SECONDS)
+        await self._wait_while_frozen()
+        if registration.born != target.born:
             return
         if rate is not None:
-            self.told_at = min(self.told_at, clock.now())
-        self.sends.heard(said, None if rate is None else str(rate))
+            self.limit_seen_at = min(self.limit_seen_at, clock.now())
+        self.sends.heard(registration, None if rate is None else str(rate))
 
 
 class Site:
@@ -146,8 +145,8 @@
         self._terms = 0
         self._tasks = set()
 
-    def run(self, work):
-        task = asyncio.ensure_future(work)
+    def start_task(self, coroutine):
+        task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -157,8 +156,8 @@
         if self.leading is not None:
             await self.leading.close()
 
-    async def lead(self):
-        """Another leader begins, without anything of the one before."""
+    async def start_leader(self):
+        """Starts a new leader without the state of its predecessor."""
         log = leader_site.Log()
         self._terms += 1
         log.term = self._terms
@@ -172,79 +171,84 @@
     async def report(self):
         if self.leading is not None:
             await self.leading.handle(
-                b"c1", site_messages.Register(said=self.target.said)
+                b"c1", site_messages.Register(said=self.target.registration)
             )
 
-    async def lose_leader(self, seconds):
-        leading, self.leading = self.leading, None
-        await leading.close()
+    async def replace_leader(self, seconds):
+        leader, self.leading = self.leading, None
+        await leader.close()
         await asyncio.sleep(seconds)
-        await self.lead()
+        await self.start_leader()
 
     async def _push(self, peers, message):
-        await asyncio.sleep(WAY_SECONDS)
+        await asyncio.sleep(NETWORK_DELAY_SECONDS)
         for host in self.hosts:
             if host.name.encode() in peers and isinstance(
                 message, site_messages.News
             ):
-                host.take(message)
+                host.apply_update(message)
 
     async def renew(self, host):
         while True:
             await host.renew()
             await asyncio.sleep(RENEW_SECONDS)
 
-    async def press(self, host, rate, chance):
-        """Callers come to a host at random times."""
+    async def generate_requests(self, host, rate, random_source):
+        """Sends requests of callers at random times."""
         while True:
-            await asyncio.sleep(chance.expovariate(rate))
-            self.run(host.send())
+            await asyncio.sleep(random_source.expovariate(rate))
+            self.start_task(host.send())
 
 
-async def play(seed, *, hosts, rate, asked=None, change=None):
+async def run_site(seed, *, hosts, rate, request_rate=None, change=None):
     """Runs a site for 20 s with faults; returns it.
 
     Args:
-        seed: Of all that is random.
-        hosts: Entry hosts.
-        rate: The target's limit.
-        asked: Requests a second that come; ten times the limit if not given.
+        seed: Seed of the random source.
+        hosts: Number of entry hosts.
+        rate: The target's limit in requests a second.
+        request_rate: Requests a second that arrive; ten times the limit if not
+            given.
         change: Called with the site once the limit is in force.
     """
-    chance = random.Random(seed)
+    random_source = random.Random(seed)
     site = Site(hosts=hosts, rate=rate)
-    await site.lead()
+    await site.start_leader()
     for host in site.hosts:
-        site.run(site.renew(host))
+        site.start_task(site.renew(host))
     await asyncio.sleep(5.0)
-    per_host = max(0.5, (asked or 10 * rate) / hosts)
+    per_host = max(0.5, (request_rate or 10 * rate) / hosts)
     for host in site.hosts:
-        site.run(site.press(host, per_host, chance))
+        site.start_task(site.generate_requests(host, per_host, random_source))
     await asyncio.sleep(3.0)
-    for _ in range(chance.randint(1, 4)):
-        await asyncio.sleep(chance.uniform(0.5, 3.0))
-        host = chance.choice(site.hosts)
-        match chance.choice(["leader", "freeze", "cut", "join", "return"]):
+    for _ in range(random_source.randint(1, 4)):
+        await asyncio.sleep(random_source.uniform(0.5, 3.0))
+        host = random_source.choice(site.hosts)
+        match random_source.choice(
+            ["leader", "freeze", "cut", "join", "return"]
+        ):
             case "leader" if site.leading is not None:
-                await site.lose_leader(chance.uniform(0.1, 1.5))
+                await site.replace_leader(random_source.uniform(0.1, 1.5))
             case "freeze":
-                until = clock.now() + chance.uniform(0.2, 3.0)
+                until = clock.now() + random_source.uniform(0.2, 3.0)
                 host.frozen_until = until
                 host.excused_until = until + 3.0
             case "cut":
-                host.is_cut = True
+                host.is_cut_off = True
                 host.excused_until = clock.now() + 6.0
-                await asyncio.sleep(chance.uniform(0.2, 3.0))
-                host.is_cut = False
+                await asyncio.sleep(random_source.uniform(0.2, 3.0))
+                host.is_cut_off = False
             case "join":
                 new = Host(site, len(site.hosts))
                 site.hosts.append(new)
-                site.run(site.renew(new))
-                site.run(site.press(new, per_host, chance))
+                site.start_task(site.renew(new))
+                site.start_task(
+                    site.generate_requests(new, per_host, random_source)
+                )
             case "return":
                 site.target.born += 1
-                for each in site.hosts:
-                    each.told_at = float("inf")
+                for host_to_reset in site.hosts:
+                    host_to_reset.limit_seen_at = float("inf")
                 await site.report()
     if change is not None:
         change(site)
@@ -253,18 +257,25 @@
     return site
 
 
-def run(seed, **fields):
+def run_seed(seed, **fields):
     with virtual_time.running() as runner:
-        return runner.run(play(seed, **fields))
+        return runner.run(run_site(seed, **fields))
 
 
-def most_told(site):
-    """Returns the most requests in a window from hosts that were told."""
-    times = [when for when, told in site.target.arrived if told]
+def max_limited_sends(site):
+    """Returns the maximum requests in a window from hosts with the limit."""
+    times = [
+        arrived_at
+        for arrived_at, has_limit in site.target.arrivals
+        if has_limit
+    ]
     return max(
         (
-            sum(begin <= when < begin + WINDOW_SECONDS for when in times)
-            for begin in times
+            sum(
+                window_start <= arrived_at < window_start + WINDOW_SECONDS
+                for arrived_at in times
+            )
+            for window_start in times
         ),
         default=0,
     )
@@ -272,100 +283,111 @@
 
 class LimitedHostsTest(unittest.TestCase):
     def test_no_window_holds_more_than_the_limit_allows(self):
-        """Guards against hosts that exceed a limit together.
+        """Guards against hosts that together exceed a limit.
 
-        Leaders are lost, hosts freeze, are cut off and join, and the target
-        returns under its address.
+        Leaders fail, hosts freeze, are cut off and join, and the target
+        restarts under its address.
         """
         for seed in range(24):
             hosts = (1, 2, 8, 40)[seed % 4]
             rate = (1.5, 0.4, 2.7, 20.0, 100.0)[seed % 5]
-            site = run(seed, hosts=hosts, rate=rate)
+            site = run_seed(seed, hosts=hosts, rate=rate)
             allowed = 1.5 * rate * WINDOW_SECONDS + 5
             self.assertLessEqual(
-                most_told(site), allowed, f"seed {seed}: {hosts} at {rate}"
+                max_limited_sends(site),
+                allowed,
+                f"seed {seed}: {hosts} at {rate}",
             )
 
     def test_a_limit_is_used(self):
-        """Guards against limits that are kept by sending nothing."""
+        """Guards against limits that are kept only by sending no requests."""
         for hosts in (1, 8, 40):
-            site = run(3, hosts=hosts, rate=5.0)
-            self.assertGreater(len(site.target.arrived), 5.0 * 5)
+            site = run_seed(3, hosts=hosts, rate=5.0)
+            self.assertGreater(len(site.target.arrivals), 5.0 * 5)
+
+    def test_a_limit_that_ends_is_removed_from_all_hosts(self):
+        """Guards against hosts that keep a limit the target has dropped."""
 
-    def test_a_limit_that_ends_is_forgotten_everywhere(self):
-        def end(site):
+        def remove_limit(site):
             site.target.rate = None
 
-        site = run(5, hosts=8, rate=2.0, asked=100.0, change=end)
+        site = run_seed(
+            5, hosts=8, rate=2.0, request_rate=100.0, change=remove_limit
+        )
         for host in site.hosts:
             self.assertIsNone(host.limits.rate("t1", site.target.born))
 
-    def test_a_limit_that_falls_is_kept_everywhere(self):
-        falls_at = []
+    def test_a_lowered_limit_is_kept_by_all_hosts(self):
+        """Guards against hosts that continue to use a higher limit."""
+        lowered_at = []
 
-        def fall(site):
-            falls_at.append(clock.now())
+        def lower_limit(site):
+            lowered_at.append(clock.now())
             site.target.rate = 1.0
 
-        site = run(4, hosts=8, rate=100.0, asked=200.0, change=fall)
+        site = run_seed(
+            4, hosts=8, rate=100.0, request_rate=200.0, change=lower_limit
+        )
         times = [
-            when
-            for when, told in site.target.arrived
-            if told and when > falls_at[0] + TOLD_SECONDS
+            arrived_at
+            for arrived_at, has_limit in site.target.arrivals
+            if has_limit and arrived_at > lowered_at[0] + LIMIT_IN_FORCE_SECONDS
         ]
         self.assertLessEqual(len(times), 1.5 * 1.0 * 4.5 + 5)
 
-    def test_a_target_that_returns_has_no_limit_for_placement(self):
-        """Guards against an engine that counts as slow after it was restarted.
+    def test_a_restarted_target_has_no_limit_for_placement(self):
+        """Guards against an engine that counts as slow after its restart.
 
-        A host still tells of the start before.
+        A host reports the limit of the previous start after the restart.
         """
 
-        async def play_return():
+        async def run_restart():
             site = Site(hosts=2, rate=1.5)
-            await site.lead()
+            await site.start_leader()
             for host in site.hosts:
-                site.run(site.renew(host))
+                site.start_task(site.renew(host))
             await asyncio.sleep(1.0)
             await site.hosts[0].send()
             await asyncio.sleep(1.0)
             before = dict(site.leading._rate_limits.rates)
             site.target.born += 1
             await site.report()
-            late = site_messages.RateLimit("t1", 1, 1.5, 0.0)
-            site.leading._merge_rate_limits([late])
-            after = dict(site.leading._rate_limits.rates)
-            fed = site.leading._lease_manager._rate_limits.rates
+            outdated = site_messages.RateLimit("t1", 1, 1.5, 0.0)
+            site.leading._merge_rate_limits([outdated])
+            limits_after = dict(site.leading._rate_limits.rates)
+            planner_rates = site.leading._lease_manager._rate_limits.rates
             await site.close()
-            return before, after, fed
+            return before, limits_after, planner_rates
 
         with virtual_time.running() as runner:
-            before, after, fed = runner.run(play_return())
-        self.assertEqual(({"t1": 1.5}, {}, {}), (before, after, fed))
+            before, limits_after, planner_rates = runner.run(run_restart())
+        self.assertEqual(
+            ({"t1": 1.5}, {}, {}), (before, limits_after, planner_rates)
+        )
 
-    def test_a_new_leader_drops_no_limit(self):
-        """Guards against an empty table that is read as no limits."""
+    def test_an_election_drops_no_limit(self):
+        """Guards against treating a new leader's empty table as no limits."""
 
-        async def play_lost():
+        async def run_election():
             site = Site(hosts=2, rate=1.5)
-            await site.lead()
+            await site.start_leader()
             for host in site.hosts:
-                site.run(site.renew(host))
+                site.start_task(site.renew(host))
             await asyncio.sleep(1.0)
             await site.hosts[0].send()
             await asyncio.sleep(1.0)
-            known = [host.limits.rate("t1", 1) for host in site.hosts]
-            await site.lose_leader(0.5)
+            limits_before = [host.limits.rate("t1", 1) for host in site.hosts]
+            await site.replace_leader(0.5)
             await asyncio.sleep(6.0)
-            after = [host.limits.rate("t1", 1) for host in site.hosts]
+            limits_after = [host.limits.rate("t1", 1) for host in site.hosts]
             table = site.leading._rate_limits.rates
             await site.close()
-            return known, after, table
+            return limits_before, limits_after, table
 
         with virtual_time.running() as runner:
-            known, after, table = runner.run(play_lost())
-        self.assertEqual([1.5, 1.5], known)
-        self.assertEqual([1.5, 1.5], after)
+            limits_before, limits_after, table = runner.run(run_election())
+        self.assertEqual([1.5, 1.5], limits_before)
+        self.assertEqual([1.5, 1.5], limits_after)
         self.assertEqual({"t1": 1.5}, table)
 
 
