--- a/tests/test_credit_portions.py
+++ b/tests/test_credit_portions.py
@@ -1,4 +1,4 @@
-"""Teams' credit given out in portions: the leader's bank, hosts' allowances."""
+"""Tests of team credit: the leader's allocator and the hosts' allowances."""
 
 import unittest
 
@@ -24,33 +24,35 @@
 
 
 class Site:
-    """Entry hosts and leaders in virtual time, with messages that get lost."""
+    """Entry hosts and leaders in virtual time, with lost messages."""
 
     def __init__(self, hosts):
         self.now = 100.0
-        self.bank = credit_allocator_lib.CreditAllocator()
-        self.bank.set_teams((team(),), self.now, full=True)
+        self.allocator = credit_allocator_lib.CreditAllocator()
+        self.allocator.set_teams((team(),), self.now, full=True)
         self.hosts = {f"h{n}": allowance_lib.Allowance() for n in range(hosts)}
-        self.cut = set()
-        # Teams that each host named in its last report to the leader.
-        self.named = {}
-        self.spent = []
-        self.refused = 0
+        self.cut_off_hosts = set()
+        # Teams in the last report of each host to the leader.
+        self.reported_teams = {}
+        self.spending = []
+        self.refused_requests = 0
 
-    def lead_anew(self):
-        self.bank = credit_allocator_lib.CreditAllocator()
-        self.bank.set_teams((team(),), self.now, full=False)
-        self.named = {}
+    def replace_leader(self):
+        self.allocator = credit_allocator_lib.CreditAllocator()
+        self.allocator.set_teams((team(),), self.now, full=False)
+        self.reported_teams = {}
 
     def renew(self, host, *, lost=False):
         allowance = self.hosts[host]
         needs = allowance.needs(self.now)
-        if host in self.cut or self.bank is None:
+        if host in self.cut_off_hosts or self.allocator is None:
             return
-        named = {need.team for need in needs}
-        self.bank.clear_teams(host, self.named.get(host, set()) - named)
-        self.named[host] = named
-        grants = [self.bank.report(host, need, self.now) for need in needs]
+        reported = {need.team for need in needs}
+        self.allocator.clear_teams(
+            host, self.reported_teams.get(host, set()) - reported
+        )
+        self.reported_teams[host] = reported
+        grants = [self.allocator.report(host, need, self.now) for need in needs]
         if lost:
             return
         allowance.heard_leader(self.now)
@@ -61,28 +63,30 @@
         allowance = self.hosts[host]
         allowance.ask("band", cost)
         if allowance.spend("band", cost, self.now):
-            self.spent.append((self.now, cost))
+            self.spending.append((self.now, cost))
             return
-        if host not in self.cut and self.bank is not None:
+        if host not in self.cut_off_hosts and self.allocator is not None:
             balance = allowance.balance("band")
             need = site_messages.Need("band", 0.0, balance, cost)
-            allowance.take(self.bank.ask(host, need, self.now), self.now)
+            allowance.take(self.allocator.ask(host, need, self.now), self.now)
             if allowance.spend("band", cost, self.now):
-                self.spent.append((self.now, cost))
+                self.spending.append((self.now, cost))
                 return
-        self.refused += 1
-
-    def most_in(self, window):
-        """The most that any window of so many seconds was given."""
-        most = 0.0
-        for start, _ in self.spent:
-            given = sum(c for t, c in self.spent if start <= t < start + window)
-            most = max(most, given)
-        return most
+        self.refused_requests += 1
+
+    def max_spent_in(self, window):
+        """Returns the maximum credit spent in any window of this length."""
+        max_credit = 0.0
+        for start, _ in self.spending:
+            credit = sum(
+                c for t, c in self.spending if start <= t < start + window
+            )
+            max_credit = max(max_credit, credit)
+        return max_credit
 
 
 class IdleTeamTest(unittest.TestCase):
-    """Teams without recent requests on a host."""
+    """Tests of teams without recent requests on a host."""
 
     def setUp(self):
         self.site = Site(2)
@@ -96,8 +100,8 @@
             self.site.now += 0.3
             self.site.renew("h0")
 
-    def test_a_team_that_is_no_longer_asked_for_is_not_reported(self):
-        """Guards against renewals that name every team of the site."""
+    def test_a_team_without_recent_requests_is_not_reported(self):
+        """Guards against renewals that contain every team of the site."""
         allowance = self.site.hosts["h0"]
         self.assertEqual(len(allowance.needs(self.site.now)), 1)
         self._renew(40)
@@ -107,19 +111,19 @@
         """Guards against unused credit that stays on a host."""
         self._renew(40)
         self.assertEqual(self.site.hosts["h0"].balance("band"), 0.0)
-        self.assertEqual(self.site.bank.levels["band"], BURST)
+        self.assertEqual(self.site.allocator.levels["band"], BURST)
 
     def test_a_host_keeps_no_share_of_a_team_it_stopped_reporting(self):
         """Guards against a lost last report reducing other hosts' credit."""
         need = site_messages.Need("band", 0.0, 0.0, 2 * BURST)
-        self.site.bank.report("h0", need, self.site.now)
-        shared = self.site.bank.report("h1", need, self.site.now).most
-        self.site.cut.add("h0")
+        self.site.allocator.report("h0", need, self.site.now)
+        shared_max = self.site.allocator.report("h1", need, self.site.now).most
+        self.site.cut_off_hosts.add("h0")
         self._renew(40)
-        self.site.cut.clear()
+        self.site.cut_off_hosts.clear()
         self._renew(1)
-        whole = self.site.bank.report("h1", need, self.site.now).most
-        self.assertGreater(whole, 1.9 * shared)
+        full_max = self.site.allocator.report("h1", need, self.site.now).most
+        self.assertGreater(full_max, 1.9 * shared_max)
 
     def test_a_late_grant_does_not_keep_an_idle_team_reported(self):
         """Guards against a grant that arrives after the team was dropped."""
@@ -131,97 +135,100 @@
         self.assertEqual(allowance.needs(self.site.now), ())
 
 
-class LineTest(unittest.TestCase):
+class ReservationQueueTest(unittest.TestCase):
     def setUp(self):
-        self.bank = credit_allocator_lib.CreditAllocator()
-        self.bank.set_teams((team(),), 0.0, full=False)
+        self.allocator = credit_allocator_lib.CreditAllocator()
+        self.allocator.set_teams((team(),), 0.0, full=False)
 
     def ask(self, now, *, soon=0.2, patience=2.0, cost=COST, host="h0"):
         need = site_messages.Need("band", 0.0, 0.0, cost)
-        return self.bank.ask(host, need, now, soon=soon, patience=patience)
+        return self.allocator.ask(host, need, now, soon=soon, patience=patience)
 
     def report(self, demand, now=0.0):
         wanted = demand * allowance_lib.AHEAD_SECONDS
         need = site_messages.Need("band", 0.0, 0.0, wanted)
-        self.bank.report("h1", need, now)
+        self.allocator.report("h1", need, now)
 
-    def test_a_backlog_after_an_outage_is_served_in_its_turn(self):
-        """Callers of three seconds come at once, to a leader without credit.
+    def test_a_backlog_after_an_outage_is_served_in_order(self):
+        """Guards against refusals of a backlog that the rate covers.
 
-        The rate covers them within two seconds. Each is promised a moment of
-        its own; without that all are told the same short time, come back
-        together, and all but the first are refused for good.
+        The requests of three seconds arrive in a burst at a leader without
+        credit; the rate covers them within two seconds. Each is reserved a
+        moment of its own. Otherwise all would receive the same short retry
+        time, retry together, and all but the first would be refused finally.
         """
         self.report(RATE / 2)
         grants = [self.ask(0.0) for _ in range(15)]
         self.assertEqual([COST] * 15, [g.credit for g in grants])
-        moments = [grant.after for grant in grants]
-        self.assertEqual(sorted(set(moments)), moments)
-        self.assertLessEqual(15 * COST / RATE, moments[-1])
-        self.assertLessEqual(moments[-1], 2.0)
-        # Whoever asks later waits behind them.
-        self.assertGreater(0.5 + self.ask(0.5).after, moments[-1])
-
-    def test_a_promise_is_never_given_twice(self):
-        """Hosts that report meanwhile get nothing of what was promised."""
+        delays = [grant.after for grant in grants]
+        self.assertEqual(sorted(set(delays)), delays)
+        self.assertLessEqual(15 * COST / RATE, delays[-1])
+        self.assertLessEqual(delays[-1], 2.0)
+        # A later request waits behind them.
+        self.assertGreater(0.5 + self.ask(0.5).after, delays[-1])
+
+    def test_reserved_credit_is_granted_only_once(self):
+        """Guards against granting reserved credit to hosts that report."""
         self.report(RATE / 2)
-        promised = [self.ask(0.0) for _ in range(5)]
-        self.assertEqual(5, sum(g.after > 0 for g in promised))
+        reserved = [self.ask(0.0) for _ in range(5)]
+        self.assertEqual(5, sum(g.after > 0 for g in reserved))
         need = site_messages.Need("band", 0.0, 0.0, RATE)
         for now in (0.1, 0.3, 0.49):
-            self.assertEqual(0.0, self.bank.report("h2", need, now).credit)
-        self.assertGreater(self.bank.report("h2", need, 0.9).credit, 0.0)
+            self.assertEqual(0.0, self.allocator.report("h2", need, now).credit)
+        self.assertGreater(self.allocator.report("h2", need, 0.9).credit, 0.0)
 
-    def test_a_surge_of_one_team_keeps_a_short_line(self):
-        """A team asks for six times its rate; nobody waits until he is late.
+    def test_a_team_over_its_rate_has_a_short_reservation_queue(self):
+        """Guards against late answers when a team exceeds its rate.
 
-        A line of two seconds would be full all the time, and every answer of
-        the team late. It holds what can still be in time; the others are
-        refused at once, each told a later time than the one before.
+        The team requests six times its rate. A reservation queue of two seconds
+        would always be full, and every answer of the team late. The queue holds
+        only requests that can be answered in time. The others are refused
+        immediately, each with a later retry time than the one before.
         """
         self.report(6 * RATE)
         grants = [self.ask(0.0) for _ in range(12)]
-        given = [g for g in grants if g.credit]
+        reserved = [g for g in grants if g.credit]
         refused = [g for g in grants if not g.credit]
-        self.assertTrue(given)
-        self.assertLessEqual(len(given) * COST, 0.2 * RATE)
-        self.assertLessEqual(max(g.after for g in given), 0.2)
-        told = [g.told for g in refused]
-        self.assertEqual(sorted(set(told)), told)
+        self.assertTrue(reserved)
+        self.assertLessEqual(len(reserved) * COST, 0.2 * RATE)
+        self.assertLessEqual(max(g.after for g in reserved), 0.2)
+        retry_after = [g.told for g in refused]
+        self.assertEqual(sorted(set(retry_after)), retry_after)
         self.assertTrue(all(g.short > 0 for g in refused))
 
-    def test_small_requests_pass_while_large_ones_use_the_rate_up(self):
-        """Orders of a team are taken while its prompts are over its rate.
+    def test_small_requests_are_served_while_large_ones_use_up_the_rate(self):
+        """Guards against refusing small requests behind large ones.
 
-        Prompts for six times the rate come first and keep the line full; an
-        order costs a tenth of one. Together the orders are a twentieth of the
-        rate, and each would be refused by what the prompts have left.
+        Large requests for six times the rate arrive first and keep the
+        reservation queue full; a small request costs a tenth of one. Together
+        the small requests are a twentieth of the rate, but the large ones leave
+        too little credit for any of them.
         """
         self.report(6 * RATE)
-        orders = []
+        small_grants = []
         for tick in range(100):
             now = 1.0 + tick * 0.01
             for _ in range(2):
                 self.ask(now, soon=0.2)
             if tick % 20 == 0:
-                orders.append(self.ask(now, soon=0.05, cost=COST / 10))
-        self.assertEqual([COST / 10] * 5, [g.credit for g in orders])
-        self.assertLess(max(g.after for g in orders), 0.01)
+                small_grants.append(self.ask(now, soon=0.05, cost=COST / 10))
+        self.assertEqual([COST / 10] * 5, [g.credit for g in small_grants])
+        self.assertLess(max(g.after for g in small_grants), 0.01)
 
     def test_credit_for_small_requests_is_no_extra_credit(self):
-        """What is saved up for them counts into rate and burst."""
-        bank = credit_allocator_lib.CreditAllocator()
-        bank.set_teams((team(),), 0.0, full=True)
-        given = 0.0
+        """Guards against granting the reserved credit on top of the burst."""
+        allocator = credit_allocator_lib.CreditAllocator()
+        allocator.set_teams((team(),), 0.0, full=True)
+        granted = 0.0
         for tick in range(100):
             now = tick * 0.01
             for cost in (COST, COST / 10, COST / 10):
                 need = site_messages.Need("band", 0.0, 0.0, cost)
-                grant = bank.ask("h0", need, now)
-                given += grant.credit
-                done = need._replace(wanted=0.0)
-                bank.report("h0", done, now)
-        self.assertLessEqual(given, BURST + RATE * 1.0)
+                grant = allocator.ask("h0", need, now)
+                granted += grant.credit
+                completed = need._replace(wanted=0.0)
+                allocator.report("h0", completed, now)
+        self.assertLessEqual(granted, BURST + RATE * 1.0)
 
     @hypothesis.given(
         st.lists(
@@ -233,49 +240,49 @@
             max_size=60,
         )
     )
-    def test_no_window_of_promises_is_above_rate_and_burst(self, asked):
-        """Whatever is asked, what may be spent by then is backed by refill."""
-        bank = credit_allocator_lib.CreditAllocator()
-        bank.set_teams((team(),), 0.0, full=True)
-        now, due = 0.0, []
-        for pause, cost, patience in asked:
+    def test_no_window_of_reservations_exceeds_rate_and_burst(self, requests):
+        """Guards against reservations that the refill does not cover."""
+        allocator = credit_allocator_lib.CreditAllocator()
+        allocator.set_teams((team(),), 0.0, full=True)
+        now, grants = 0.0, []
+        for pause, cost, patience in requests:
             now += pause
             need = site_messages.Need("band", 0.0, 0.0, cost)
-            grant = bank.ask("h0", need, now, soon=0.0, patience=patience)
-            due.append((now + grant.after, grant.credit))
-            bank.report("h0", need._replace(wanted=0.0), now)
-        due.sort()
-        for start, _ in due:
-            for end, _ in due:
-                given = sum(c for at, c in due if start <= at <= end)
-                most = RATE * max(0.0, end - start) + BURST + 1e-6
-                self.assertLessEqual(given, most)
-
-
-class PortionsTest(unittest.TestCase):
+            grant = allocator.ask("h0", need, now, soon=0.0, patience=patience)
+            grants.append((now + grant.after, grant.credit))
+            allocator.report("h0", need._replace(wanted=0.0), now)
+        grants.sort()
+        for start, _ in grants:
+            for end, _ in grants:
+                granted = sum(c for at, c in grants if start <= at <= end)
+                allowed = RATE * max(0.0, end - start) + BURST + 1e-6
+                self.assertLessEqual(granted, allowed)
+
+
+class CreditShareTest(unittest.TestCase):
     @hypothesis.given(st.data())
     @hypothesis.settings(max_examples=60)
-    def test_no_window_gives_more_than_rate_and_burst(self, data):
-        """Hosts and leaders come and go, and answers are lost.
+    def test_no_window_grants_more_than_rate_and_burst(self, data):
+        """Guards against granting more than rate and burst in a window.
 
-        A team that asks for far more than its rate never gets more than rate
-        and burst in any window, but for what hosts may count on alone after
-        each loss of a leader: their share of the rate for a bounded time.
+        Hosts and leaders are replaced, and answers are lost, while a team
+        requests far more than its rate. Only after the loss of a leader may
+        hosts spend more: their share of the rate for a bounded time.
         """
         site = Site(hosts=4)
-        deaths = 0
+        leader_changes = 0
         for tick in range(data.draw(st.integers(20, 120))):
             site.now += TICK
             event = data.draw(
                 st.sampled_from(["none"] * 12 + ["lead", "host", "lost"])
             )
             if event == "lead":
-                site.lead_anew()
-                deaths += 1
+                site.replace_leader()
+                leader_changes += 1
             if event == "host":
                 name = data.draw(st.sampled_from(sorted(site.hosts)))
                 site.hosts[name] = allowance_lib.Allowance()
-                site.bank.forget(name)
+                site.allocator.forget(name)
             for position, name in enumerate(sorted(site.hosts)):
                 if (tick + position) % RENEW_TICKS == 0:
                     lost = event == "lost" and position == 0
@@ -284,14 +291,14 @@
                     site.request(name)
         for window in (1.0, 4.0, 8.0):
             self.assertLessEqual(
-                site.most_in(window), RATE * window + BURST + COST
+                site.max_spent_in(window), RATE * window + BURST + COST
             )
 
     def test_a_team_inside_its_rate_is_not_refused(self):
-        """Nobody pays for the division of a rate among hosts.
+        """Guards against refusals caused by the division of a rate among hosts.
 
-        Requests come to hosts in turn and unevenly, at four fifths of the
-        rate; whoever lacks credit asks the leader.
+        Requests arrive at hosts unevenly, at four fifths of the rate. A host
+        without credit requests some from the leader.
         """
         site = Site(hosts=8)
         for tick in range(600):
@@ -301,17 +308,17 @@
                     site.renew(name)
             if tick % 10 < 8:
                 site.request(f"h{tick * tick % 8}")
-        self.assertEqual(site.refused, 0)
+        self.assertEqual(site.refused_requests, 0)
 
-    def test_a_burst_of_a_few_requests_is_not_kept_by_hosts(self):
-        """A team inside its rate is not refused for what idle hosts hold.
+    def test_a_burst_of_a_few_requests_is_not_held_by_idle_hosts(self):
+        """Guards against refusals because idle hosts hold the credit.
 
-        Its burst is worth seven requests, fewer than there are hosts; one in
-        eight is three times as large. At three fifths of the rate each host
-        would like credit for the largest, which is more than the burst.
+        The burst covers seven requests, fewer than there are hosts; one request
+        in eight is three times as large. At three fifths of the rate each host
+        wants credit for the largest request, which in total exceeds the burst.
         """
         site = Site(hosts=8)
-        site.bank.set_teams((team(RATE, 7 * COST),), site.now, full=True)
+        site.allocator.set_teams((team(RATE, 7 * COST),), site.now, full=True)
         for tick in range(600):
             site.now += TICK
             for position, name in enumerate(sorted(site.hosts)):
@@ -320,31 +327,33 @@
             cost = 3 * COST if tick % 8 == 3 else COST
             if tick % 2:
                 site.request(f"h{tick * tick % 7}", cost)
-        self.assertEqual(site.refused, 0)
+        self.assertEqual(site.refused_requests, 0)
 
-    def test_hosts_go_on_while_there_is_no_leader(self):
-        """The death of a leader refuses nobody who is inside its rate.
+    def test_hosts_continue_without_a_leader(self):
+        """Guards against refusals of teams within their rate after a failure.
 
-        For two seconds no leader answers; each host counts on its part.
+        No leader answers for two seconds; each host spends its share of the
+        rate.
         """
         site = Site(hosts=4)
         for tick in range(150):
             site.now += TICK
             if tick == 100:
-                site.bank = None
+                site.allocator = None
             if tick == 120:
-                site.lead_anew()
+                site.replace_leader()
             for position, name in enumerate(sorted(site.hosts)):
                 if (tick + position) % RENEW_TICKS == 0:
                     site.renew(name)
             if tick % 2:
                 site.request(f"h{tick // 2 % 4}")
-        self.assertEqual(site.refused, 0)
+        self.assertEqual(site.refused_requests, 0)
 
-    def test_a_host_that_is_cut_off_stops(self):
-        """A team does not get its rate twice when a host is cut off.
+    def test_a_host_without_a_leader_stops_spending(self):
+        """Guards against granting a team's rate twice when a host is cut off.
 
-        The host hears no leader for long; it stops counting on its part.
+        The host reaches no leader for a long time and stops spending its share
+        of the rate.
         """
         site = Site(hosts=2)
         for _ in range(60):
@@ -352,16 +361,16 @@
             for name in site.hosts:
                 site.renew(name)
                 site.request(name)
-        site.cut.add("h0")
-        site.spent = []
+        site.cut_off_hosts.add("h0")
+        site.spending = []
         for _ in range(200):
             site.now += TICK
             site.request("h0")
-        self.assertLessEqual(sum(c for _, c in site.spent), BURST + 4 * RATE)
-        self.assertGreater(site.now - site.spent[-1][0], 10.0)
+        self.assertLessEqual(sum(c for _, c in site.spending), BURST + 4 * RATE)
+        self.assertGreater(site.now - site.spending[-1][0], 10.0)
 
-    def test_a_lowered_rate_takes_hold(self):
-        """A lower limit binds although hosts hold credit from before."""
+    def test_a_lowered_rate_is_enforced(self):
+        """Guards against a lower limit that hosts exceed with older credit."""
         site = Site(hosts=2)
         for _ in range(60):
             site.now += TICK
@@ -369,41 +378,49 @@
                 site.renew(name)
                 for _ in range(3):
                     site.request(name)
-        site.bank.set_teams((team(100.0, 100.0),), site.now, full=True)
+        site.allocator.set_teams((team(100.0, 100.0),), site.now, full=True)
         held = sum(a.balance("band") for a in site.hosts.values())
-        site.spent = []
+        site.spending = []
         for _ in range(80):
             site.now += TICK
             for name in site.hosts:
                 site.renew(name)
                 for _ in range(3):
                     site.request(name)
-        self.assertLessEqual(site.most_in(8.0), held + 100.0 * 8 + 100.0 + COST)
+        self.assertLessEqual(
+            site.max_spent_in(8.0), held + 100.0 * 8 + 100.0 + COST
+        )
+
+    def test_a_new_leader_grants_no_burst(self):
+        """Guards against granting credit twice across an election.
 
-    def test_a_new_leader_gives_out_no_burst(self):
-        """What the old leader gave out may still be spent."""
-        bank = credit_allocator_lib.CreditAllocator()
-        bank.set_teams((team(),), 0.0, full=False)
+        Credit that the previous leader granted may still be spent.
+        """
+        allocator = credit_allocator_lib.CreditAllocator()
+        allocator.set_teams((team(),), 0.0, full=False)
         need = site_messages.Need("band", 0.0, 0.0, COST)
-        grant = bank.ask("h0", need, 0.0)
+        grant = allocator.ask("h0", need, 0.0)
         self.assertEqual(grant.credit, 0.0)
         self.assertAlmostEqual(grant.short, COST / RATE)
 
-    def test_what_hosts_hold_counts_as_part_of_the_bucket(self):
-        """A team that was quiet does not get burst and portions on top.
+    def test_credit_held_by_hosts_counts_as_part_of_the_bucket(self):
+        """Guards against granting an idle team its burst and credit shares.
 
-        A host takes a portion; the bucket does not fill up beside it.
+        A host takes a credit share; the bucket is not filled up beyond the rest
+        of the burst.
         """
-        bank = credit_allocator_lib.CreditAllocator()
-        bank.set_teams((team(),), 0.0, full=True)
-        bank.report("h0", site_messages.Need("band", 0, 0, 700.0), 0.0)
-        bank.report("h0", site_messages.Need("band", 0, 700.0, 700.0), 60.0)
-        self.assertLessEqual(bank.levels["band"], BURST - 700.0)
+        allocator = credit_allocator_lib.CreditAllocator()
+        allocator.set_teams((team(),), 0.0, full=True)
+        allocator.report("h0", site_messages.Need("band", 0, 0, 700.0), 0.0)
+        allocator.report(
+            "h0", site_messages.Need("band", 0, 700.0, 700.0), 60.0
+        )
+        self.assertLessEqual(allocator.levels["band"], BURST - 700.0)
 
 
-class RepeatBudgetTest(unittest.TestCase):
-    def test_a_new_process_has_no_fixed_part(self):
-        """Restarts do not add up to more repeats than are allowed."""
+class RetryBudgetTest(unittest.TestCase):
+    def test_a_new_process_has_no_fixed_allowance(self):
+        """Guards against exceeding the allowed retries by restarts."""
         budget = repeats.RepeatBudget(
             ratio=0.2, window=10.0, slack=100.0, now=0.0
         )
@@ -412,20 +429,21 @@
             budget.came(1.0)
         self.assertTrue(budget.spend(1.0))
 
-    def test_one_of_many_hosts_may_exceed_its_equal_part(self):
-        """Guards against failing while repeats of other hosts are unused."""
+    def test_one_of_many_hosts_may_exceed_its_equal_share(self):
+        """Guards against refusing retries while other hosts have some left."""
         budget = repeats.RepeatBudget(
             ratio=0.2, window=10.0, slack=422.0, now=0.0
         )
         budget.set_hosts(191)
         shared = repeats.SharedRepeatBudget(window=10.0, slack=422.0, now=0.0)
-        repeated = sum(
+        granted = sum(
             budget.spend(20.0) or shared.spend(20.0, hosts=191)
             for _ in range(100)
         )
-        self.assertEqual(repeated, 100)
+        self.assertEqual(granted, 100)
 
-    def test_a_new_leader_grants_no_repeats_for_a_whole_window(self):
+    def test_a_new_leader_grants_no_retries_for_a_full_window(self):
+        """Guards against granting the allowance of one window twice."""
         shared = repeats.SharedRepeatBudget(window=10.0, slack=422.0, now=0.0)
         self.assertFalse(shared.spend(9.9, hosts=191))
         self.assertTrue(shared.spend(10.1, hosts=191))
@@ -441,7 +459,10 @@
     def test_hosts_and_successive_leaders_stay_within_slack(
         self, hosts, slack, steps
     ):
-        """Repeats never exceed the fixed number, even across leader changes."""
+        """Guards against exceeding the fixed number of retries.
+
+        Each host spends its own share, and successive leaders grant the rest.
+        """
         now, spent = 0.0, []
         budgets = [
             repeats.RepeatBudget(ratio=0.0, window=10.0, slack=slack, now=now)
@@ -451,13 +472,13 @@
             budget.set_hosts(hosts)
         shared = repeats.SharedRepeatBudget(window=10.0, slack=slack, now=now)
         now = 11.0
-        for pause, wanted, new_leader in steps:
+        for pause, retries, new_leader in steps:
             now += pause
             if new_leader:
                 shared = repeats.SharedRepeatBudget(
                     window=10.0, slack=slack, now=now
                 )
-            for number in range(wanted):
+            for number in range(retries):
                 budget = budgets[number % hosts]
                 if budget.spend(now) or shared.spend(now, hosts=hosts):
                     spent.append(now)
@@ -465,8 +486,9 @@
             within = sum(start <= at <= start + 10.0 for at in spent)
             self.assertLessEqual(within, slack)
 
-    def test_all_hosts_together_stay_inside(self):
-        given = 0
+    def test_all_hosts_together_stay_within_the_budget(self):
+        """Guards against a budget that grows with the number of hosts."""
+        granted = 0
         for _ in range(5):
             budget = repeats.RepeatBudget(
                 ratio=0.2, window=10.0, slack=50.0, now=0.0
@@ -474,6 +496,6 @@
             budget.set_hosts(5)
             for tick in range(200):
                 budget.came(10 + tick * 0.05)
-                given += budget.spend(10 + tick * 0.05)
-                given += budget.spend(10 + tick * 0.05)
-        self.assertLessEqual(given, 0.2 * 1000 + 50)
+                granted += budget.spend(10 + tick * 0.05)
+                granted += budget.spend(10 + tick * 0.05)
+        self.assertLessEqual(granted, 0.2 * 1000 + 50)
