--- a/packages/endivestream/src/endivestream/process/credit_allocator.py
+++ b/packages/endivestream/src/endivestream/process/credit_allocator.py
@@ -101,9 +101,9 @@
     Attributes:
         team: The team's rule.
         level: Credit that may be granted.
-        small: Credit for small requests only.
+        small_credit: Credit for small requests only.
         average_cost: Moving average of the cost of requests.
-        filled: Time of the last refill.
+        refilled_at: Time of the last refill.
         largest_cost: Cost of the largest recent request.
         wanted: Credit that each host wants to hold.
         held: Credit that each host held at its last report, with what it was
@@ -114,8 +114,8 @@
 
     team: document_lib.Team
     level: float
-    filled: float
-    small: float = 0.0
+    refilled_at: float
+    small_credit: float = 0.0
     average_cost: float = 0.0
     largest_cost: float = 0.0
     wanted: _HostAmounts = dataclasses.field(
@@ -142,20 +142,20 @@
         filled up without regard to it, a team could spend its burst and all
         credit shares in a short time.
         """
-        elapsed = max(0.0, now - self.filled)
+        elapsed = max(0.0, now - self.refilled_at)
         refilled = self.team.rate * elapsed
         small_shortfall = max(
-            0.0, _SMALL_BURST_FRACTION * self.team.burst - self.small
+            0.0, _SMALL_BURST_FRACTION * self.team.burst - self.small_credit
         )
         to_small = min(_SMALL_RATE_FRACTION * refilled, small_shortfall)
-        self.small += to_small
-        held = self.held.total
-        capacity = max(0.0, self.team.burst - held - self.small)
+        self.small_credit += to_small
+        held_credit = self.held.total
+        capacity = max(0.0, self.team.burst - held_credit - self.small_credit)
         self.level = min(capacity, self.level + refilled - to_small)
         self.largest_cost *= math.exp(-elapsed / _LARGEST_DECAY_SECONDS)
         retried = _REFUSED_RATE_FRACTION * self.team.rate * elapsed
         self.refused_credit = max(0.0, self.refused_credit - retried)
-        self.filled = now
+        self.refilled_at = now
 
     def note_cost(self, cost: float) -> None:
         """Adds a request to the moving average of costs."""
@@ -164,9 +164,11 @@
 
     def take_small(self, cost: float) -> bool:
         """Takes credit reserved for small requests; False if not possible."""
-        if cost > min(self.small, _SMALL_COST_FRACTION * self.average_cost):
+        if cost > min(
+            self.small_credit, _SMALL_COST_FRACTION * self.average_cost
+        ):
             return False
-        self.small -= cost
+        self.small_credit -= cost
         return True
 
     def share(self, host: str) -> float:
@@ -197,7 +199,9 @@
     @property
     def levels(self) -> dict[str, float]:
         """Credit of each team that is not granted to hosts."""
-        return {name: b.level + b.small for name, b in self._buckets.items()}
+        return {
+            name: b.level + b.small_credit for name, b in self._buckets.items()
+        }
 
     def set_teams(
         self,
@@ -225,13 +229,13 @@
                 )
             if bucket is None:
                 level = team.burst if full else 0.0
-                bucket = _Bucket(team=team, level=level, filled=now)
+                bucket = _Bucket(team=team, level=level, refilled_at=now)
             else:
                 bucket.refill(now)
                 bucket.team = team
                 bucket.level = min(bucket.level, team.burst)
-                bucket.small = min(
-                    bucket.small, _SMALL_BURST_FRACTION * team.burst
+                bucket.small_credit = min(
+                    bucket.small_credit, _SMALL_BURST_FRACTION * team.burst
                 )
             buckets[team.name] = bucket
         self._buckets = buckets
@@ -327,7 +331,7 @@
     def _create_grant(
         self, host: str, bucket: _Bucket, credit: float, short: float
     ) -> site_messages.Grant:
-        # Integral values take less space in a packed frame.
+        # Whole numbers take less space in a packed frame.
         rate = float(
             math.floor(
                 bucket.team.rate
--- a/packages/endivestream/src/endivestream/process/site_leading.py
+++ b/packages/endivestream/src/endivestream/process/site_leading.py
@@ -93,8 +93,8 @@
         self._started_at = clock.now()
         self._is_table_complete = False
         self._registry = registry_lib.Registry()
-        for name, born in lead.replicator.state.departures.born.items():
-            self._registry.leave(name, self._started_at, born)
+        for name, started_at in lead.replicator.state.departures.born.items():
+            self._registry.leave(name, self._started_at, started_at)
         self._silent_targets: set[str] = set()
         self._sessions: dict[str, _EntryHostSession] = {}
         self._live_hosts: tuple[site_messages.EntryHost, ...] = ()
@@ -289,10 +289,14 @@
                 return site_messages.GiveSend(again=seconds)
 
     def _record_send(self, target: str) -> None:
-        born = self._registry.born(target)
-        rate = None if born is None else self._rate_limits.rate(target, born)
+        started_at = self._registry.born(target)
+        rate = (
+            None
+            if started_at is None
+            else self._rate_limits.rate(target, started_at)
+        )
         if rate is not None:
-            self._send_slots.spent(target, born, rate, clock.now())
+            self._send_slots.spent(target, started_at, rate, clock.now())
 
     def _merge_rate_limits(
         self, limits: Iterable[site_messages.RateLimit]
@@ -362,14 +366,17 @@
         Entry hosts may know the target from the previous leader, so they are
         notified even if it has not reported to this leader.
         """
-        born = self._registry.born(name)
+        started_at = self._registry.born(name)
         was_known = self._registry.leave(name, clock.now())
         logs.event(
-            "target_deregistered", target=name, born=born, known=was_known
+            "target_deregistered",
+            target=name,
+            born=started_at,
+            known=was_known,
         )
         self._targets_changed([name])
         await self._replicator.propose(
-            departures_lib.Depart(name=name, born=born)
+            departures_lib.Depart(name=name, born=started_at)
         )
         await self._wait_for_departure(name)
 
