--- a/packages/endivestream/src/endivestream/version/consensus.py
+++ b/packages/endivestream/src/endivestream/version/consensus.py
@@ -1,11 +1,11 @@
-"""The replicated log's agreement, as a pure step function.
-
-Raft's rules: terms, votes, log matching, commitment by a majority in the
-leader's own term; with pre-vote, check-quorum, leader leases, learners and
-voter changes one at a time. `Replica.step` takes one event and returns the
-effects, in the order in which the caller must carry them out. There is no
-clock, socket, file or random source inside: time and jitter come in with the
-events.
+"""Raft consensus for the replicated log, as a deterministic state machine.
+
+Implements terms, votes, log matching and commitment by a majority in the
+leader's own term, with pre-vote, check-quorum, leader leases, learners and
+membership changes of one voter at a time. `Replica.step` takes one event and
+returns effects that the caller must execute in the given order. The module
+uses no clock, socket, file or random source: time and jitter are passed in
+with the events.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class Role(enum.StrEnum):
-    """What a replica does."""
+    """Raft role of a replica."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre_candidate"
@@ -30,27 +30,27 @@
 
 
 class _Peer:
-    """What a leader knows of one follower."""
+    """Replication progress of one follower, as tracked by the leader."""
 
     def __init__(self, *, next_index: int, now: float) -> None:
-        self.next = next_index
+        self.next_index = next_index
         self.matched = 0
-        # The sending time of the newest message that it answered.
-        self.answered = float("-inf")
-        self.heard = now
-        self.snapshot_at = float("-inf")
+        # When the newest message that the follower acknowledged was sent.
+        self.acked_sent_at = float("-inf")
+        self.last_reply_at = now
+        self.snapshot_sent_at = float("-inf")
 
 
 class Replica:
-    """One replica's part in the agreement.
+    """Consensus state of one replica.
 
     Attributes:
-        identity: Who this is.
-        role: What it does now.
+        identity: Identity of this replica.
+        role: Its current role.
         term: The newest term seen.
-        leader: The leader's identity, or empty.
-        commit: Entries up to here are committed.
-        members: Who takes part, by the newest entry that says so.
+        leader: Identity of the current leader; empty if unknown.
+        commit: Index of the last entry known to be committed.
+        members: Members set by the newest membership entry in the log.
     """
 
     def __init__(
@@ -77,88 +77,104 @@
         self._base_members = snapshot_members
         self._member_changes: list[tuple[int, members_lib.Members]] = []
         for entry in entries:
-            self._note_members(entry)
-        # Everything read back from the disk is durable.
-        self._durable = self._log.last
-        self._verified = 0
-        self._writes: collections.deque[tuple[int, int]] = collections.deque()
+            self._record_members(entry)
+        # Index of the last durable entry; entries read from disk are durable.
+        self._durable_index = self._log.last
+        # Index of the last entry that is known to match the leader's log.
+        self._verified_index = 0
+        self._pending_writes: collections.deque[tuple[int, int]] = (
+            collections.deque()
+        )
         self._write_number = 0
         self._votes: set[str] = set()
         self._peers: dict[str, _Peer] = {}
-        self._beat_at = now
-        self._first_own = 0
+        self._next_heartbeat_at = now
+        self._first_index_of_term = 0
         self._transferring = False
-        self._transfer_ends = 0.0
-        self._leader_sent = 0.0
-        # A restarted replica has forgotten whom it heard last. It must not
-        # vote within the time that it may have promised a leader's lease
-        # (symptom: two leaders, each sure that it is the only one).
-        self._heard = now
-        self._deadline = now
+        self._transfer_deadline = 0.0
+        self._leader_sent_at = 0.0
+        # The time of the leader's last message is not stored. A restarted
+        # replica therefore refuses to vote for one election timeout, because
+        # a leader's lease may still rely on it (symptom otherwise: two
+        # leaders that both hold a lease).
+        self._leader_seen_at = now
+        self._election_deadline = now
         self._jitter = jitter
-        alone = [m.identity for m in self.members.voters] == [identity]
-        if not alone:
-            self._set_deadline()
+        sole_voter = [m.identity for m in self.members.voters] == [identity]
+        if not sole_voter:
+            self._reset_election_deadline()
         self._effects: list[protocol.Effect] = []
 
     @property
     def members(self) -> members_lib.Members:
-        """Who takes part, by the newest entry that says so."""
+        """Members set by the newest membership entry in the log."""
         if self._member_changes:
             return self._member_changes[-1][1]
         return self._base_members
 
     @property
     def last_index(self) -> int:
-        """The last entry's index."""
+        """Index of the last entry."""
         return self._log.last
 
     @property
     def first_own(self) -> int:
-        """The first entry of its own term, for a leader; 1 if none led before.
+        """Index of a leader's first entry; 1 if it is the first leader ever.
 
-        Every leader's first act is an entry, and one elected later has all
-        that were committed.
+        A new leader immediately appends an entry of its own term, and its
+        log contains every entry that was committed before its election.
         """
-        return self._first_own
+        return self._first_index_of_term
 
     @property
     def ready(self) -> bool:
-        """Whether this leads and has committed an entry of its own term.
+        """Whether this replica leads and has committed in its own term.
 
-        Before that it may not know all that is committed.
+        Until then its commit index may lag behind that of earlier leaders.
         """
-        return self.role == Role.LEADER and self.commit >= self._first_own
+        return (
+            self.role == Role.LEADER
+            and self.commit >= self._first_index_of_term
+        )
 
     @property
     def lease_until(self) -> float:
-        """Until when no other replica can lead; in the past if unknown."""
+        """End of the leader lease; minus infinity if there is none.
+
+        No other replica can be elected before this time.
+        """
         if not self.ready or self._transferring:
             return float("-inf")
-        answered = sorted(map(self._answered, self.members.voters))
-        answered.reverse()
-        return answered[self.members.majority - 1] + self._timing.lease
+        sent_times = sorted(map(self._acked_sent_at, self.members.voters))
+        sent_times.reverse()
+        return sent_times[self.members.majority - 1] + self._timing.lease
 
     def matched(self, identity: str) -> int:
-        """Returns the last entry that a follower has synced; for a leader."""
+        """Returns the index of the last entry that a follower has synced.
+
+        Valid on the leader only; 0 if the follower is unknown.
+        """
         peer = self._peers.get(identity)
         return peer.matched if peer else 0
 
     def silent_for(self, identity: str) -> float:
-        """Returns seconds since a follower was heard of; for a leader."""
+        """Returns the seconds since the last reply of a follower.
+
+        Valid on the leader only; 0 if the follower is unknown.
+        """
         peer = self._peers.get(identity)
-        return self._now - peer.heard if peer else 0.0
+        return self._now - peer.last_reply_at if peer else 0.0
 
     def members_at(self, index: int) -> members_lib.Members:
-        """Returns the members as of an entry, for a snapshot up to it."""
-        found = self._base_members
-        for changed, members in self._member_changes:
-            if changed <= index:
-                found = members
-        return found
+        """Returns the members in effect at `index`, for a snapshot."""
+        effective = self._base_members
+        for changed_at, members in self._member_changes:
+            if changed_at <= index:
+                effective = members
+        return effective
 
     def term_at(self, index: int) -> int:
-        """Returns an entry's term; -1 if it is not in memory."""
+        """Returns the term of an entry; -1 if it is not in memory."""
         return self._log.term_at(index)
 
     def __repr__(self) -> str:
@@ -168,7 +184,7 @@
         )
 
     def step(self, event: protocol.Event, now: float) -> list[protocol.Effect]:
-        """Takes one event; returns effects to carry out in order."""
+        """Processes one event and returns effects to execute in order."""
         self._now = max(self._now, now)
         self._effects = []
         match event:
@@ -179,7 +195,7 @@
             case protocol.Proposed(payloads=payloads):
                 self._propose(payloads)
             case protocol.Synced(write=write):
-                self._synced(write)
+                self._on_synced(write)
             case protocol.Compacted(index=index):
                 self._compact(index)
             case protocol.ChangeMembers(members=members):
@@ -188,74 +204,80 @@
                 self._transfer()
         return self._effects
 
-    def _answered(self, member: members_lib.Member) -> float:
-        """Returns when the newest message that a voter answered was sent."""
+    def _acked_sent_at(self, member: members_lib.Member) -> float:
+        """Returns when the newest message that a voter acked was sent."""
         if member.identity == self.identity:
             return self._now
         peer = self._peers.get(member.identity)
-        return peer.answered if peer else float("-inf")
+        return peer.acked_sent_at if peer else float("-inf")
 
     def _send(self, to: str, message: protocol.Message) -> None:
         self._effects.append(protocol.Send(to, message))
 
-    def _others(self) -> list[str]:
+    def _other_voters(self) -> list[str]:
         return [
             m.identity
             for m in self.members.voters
             if m.identity != self.identity
         ]
 
-    # Time.
+    # Timers.
 
-    def _set_deadline(self) -> None:
-        self._deadline = self._now + self._timing.election * (1 + self._jitter)
+    def _reset_election_deadline(self) -> None:
+        self._election_deadline = self._now + self._timing.election * (
+            1 + self._jitter
+        )
 
     def _tick(self, jitter: float) -> None:
         self._jitter = jitter
         if self.role == Role.LEADER:
             self._tick_leader()
             return
-        if self._now < self._deadline:
+        if self._now < self._election_deadline:
             return
-        self._set_deadline()
+        self._reset_election_deadline()
         if self.members.is_voter(self.identity):
             self._start_pre_vote()
 
     def _tick_leader(self) -> None:
-        late = self._transferring and self._now >= self._transfer_ends
-        if late or not self._quorum_heard():
-            # Cut off from a majority it can commit nothing, and callers
-            # should learn that now. After a hand-over that did not come
-            # about it may not lead on in this term: the heir may still get
-            # the request and would then not respect a lease.
-            self._follow(self.term, "")
-            self._set_deadline()
-        elif self._now >= self._beat_at:
+        transfer_expired = (
+            self._transferring and self._now >= self._transfer_deadline
+        )
+        if transfer_expired or not self._has_quorum_contact():
+            # Without a majority nothing can be committed: step down, so that
+            # pending proposals fail immediately. After an unsuccessful
+            # leadership transfer this replica must not lead again in this
+            # term: the successor may still receive `TimeoutNow`, and its
+            # election ignores leases.
+            self._become_follower(self.term, "")
+            self._reset_election_deadline()
+        elif self._now >= self._next_heartbeat_at:
             self._broadcast()
 
-    def _quorum_heard(self) -> bool:
-        heard = sum(
+    def _has_quorum_contact(self) -> bool:
+        reachable = sum(
             m.identity == self.identity
-            or self._now - self._peer(m.identity).heard <= self._timing.election
+            or self._now - self._peer(m.identity).last_reply_at
+            <= self._timing.election
             for m in self.members.voters
         )
-        return heard >= self.members.majority
+        return reachable >= self.members.majority
 
     # Elections.
 
     def _start_pre_vote(self) -> None:
-        """Asks whether an election could be won, before a term is spent.
+        """Checks that an election can be won before incrementing the term.
 
-        A replica that was cut off and comes back must not depose a working
-        leader with the high term that it reached alone.
+        Otherwise a replica that rejoins after a network partition could
+        depose a working leader with a term that it incremented on its own.
         """
         self.role = Role.PRE_CANDIDATE
         self.leader = ""
         self._votes = {self.identity}
-        if self._won():
+        if self._has_majority_of_votes():
             self._start_election(transfer=False)
             return
-        for other in self._others():
+        for other in self._other_voters():
             self._send(
                 other,
                 protocol.PreVote(
@@ -270,10 +292,10 @@
         self.leader = ""
         self._save_vote(self.term + 1, self.identity)
         self._votes = {self.identity}
-        if self._won():
-            self._lead()
+        if self._has_majority_of_votes():
+            self._become_leader()
             return
-        for other in self._others():
+        for other in self._other_voters():
             self._send(
                 other,
                 protocol.RequestVote(
@@ -284,7 +306,7 @@
                 ),
             )
 
-    def _won(self) -> bool:
+    def _has_majority_of_votes(self) -> bool:
         voters = {m.identity for m in self.members.voters}
         return len(self._votes & voters) >= self.members.majority
 
@@ -294,35 +316,35 @@
         vote = storage_lib.Vote(term, voted_for)
         self._effects.append(protocol.SaveVote(vote))
 
-    def _follow(self, term: int, leader: str) -> None:
+    def _become_follower(self, term: int, leader: str) -> None:
         if term > self.term:
             self._save_vote(term, "")
         if leader != self.leader or self.role == Role.LEADER:
-            self._verified = 0
+            self._verified_index = 0
         self.role = Role.FOLLOWER
         self.leader = leader
         self._votes = set()
         self._peers = {}
         self._transferring = False
 
-    def _lead(self) -> None:
+    def _become_leader(self) -> None:
         self.role = Role.LEADER
         self.leader = self.identity
         self._peers = {}
         self._transferring = False
-        self._first_own = self._log.last + 1
-        self._append([b""])
+        self._first_index_of_term = self._log.last + 1
+        self._append_payloads([b""])
         self._broadcast()
 
-    def _up_to_date(self, last_term: int, last_index: int) -> bool:
-        mine = (self._log.last_term, self._log.last)
-        return (last_term, last_index) >= mine
+    def _is_up_to_date(self, last_term: int, last_index: int) -> bool:
+        own_position = (self._log.last_term, self._log.last)
+        return (last_term, last_index) >= own_position
 
-    def _bound_to_leader(self) -> bool:
-        """Whether a leader may rely on this replica for its lease."""
+    def _supports_leader_lease(self) -> bool:
+        """Returns whether a leader's lease may rely on this replica."""
         if self.role == Role.LEADER:
             return True
-        return self._now - self._heard < self._timing.election
+        return self._now - self._leader_seen_at < self._timing.election
 
     # Messages.
 
@@ -349,8 +371,8 @@
     def _on_pre_vote(self, sender: str, message: protocol.PreVote) -> None:
         granted = (
             message.term > self.term
-            and not self._bound_to_leader()
-            and self._up_to_date(message.last_term, message.last_index)
+            and not self._supports_leader_lease()
+            and self._is_up_to_date(message.last_term, message.last_index)
         )
         term = message.term if granted else self.term
         self._send(sender, protocol.PreVoteReply(term=term, granted=granted))
@@ -360,58 +382,59 @@
     ) -> None:
         if not message.granted:
             if message.term > self.term:
-                self._follow(message.term, "")
+                self._become_follower(message.term, "")
             return
         if self.role != Role.PRE_CANDIDATE or message.term != self.term + 1:
             return
         self._votes.add(sender)
-        if self._won():
+        if self._has_majority_of_votes():
             self._start_election(transfer=False)
 
     def _on_request_vote(
         self, sender: str, message: protocol.RequestVote
     ) -> None:
-        if not message.transfer and self._bound_to_leader():
-            # Not even the term is taken over: a leader's lease rests on this.
+        if not message.transfer and self._supports_leader_lease():
+            # The higher term is not adopted either: leader leases are only
+            # valid if followers ignore such candidates.
             self._send(
                 sender, protocol.VoteReply(term=self.term, granted=False)
             )
             return
         if message.term > self.term:
-            self._follow(message.term, "")
+            self._become_follower(message.term, "")
         granted = (
             message.term == self.term
             and self._voted_for in ("", sender)
-            and self._up_to_date(message.last_term, message.last_index)
+            and self._is_up_to_date(message.last_term, message.last_index)
         )
         if granted:
             if not self._voted_for:
                 self._save_vote(self.term, sender)
-            self._set_deadline()
+            self._reset_election_deadline()
         self._send(sender, protocol.VoteReply(term=self.term, granted=granted))
 
     def _on_vote_reply(self, sender: str, message: protocol.VoteReply) -> None:
         if message.term > self.term:
-            self._follow(message.term, "")
+            self._become_follower(message.term, "")
             return
         if self.role != Role.CANDIDATE or message.term != self.term:
             return
         if message.granted:
             self._votes.add(sender)
-            if self._won():
-                self._lead()
+            if self._has_majority_of_votes():
+                self._become_leader()
 
-    def _hear_leader(self, sender: str, term: int) -> bool:
-        """Notes a leader's message; False if its term is over."""
+    def _accept_leader(self, sender: str, term: int) -> bool:
+        """Records contact with a leader; returns False if its term is old."""
         if term < self.term:
             return False
         if term > self.term or self.role != Role.FOLLOWER:
-            self._follow(term, sender)
+            self._become_follower(term, sender)
         elif self.leader != sender:
-            self._verified = 0
+            self._verified_index = 0
         self.leader = sender
-        self._heard = self._now
-        self._set_deadline()
+        self._leader_seen_at = self._now
+        self._reset_election_deadline()
         return True
 
     def _reply(
@@ -423,7 +446,7 @@
         matched: int | None = None,
     ) -> None:
         if matched is None:
-            matched = min(self._verified, self._durable)
+            matched = min(self._verified_index, self._durable_index)
         self._send(
             sender,
             protocol.AppendReply(
@@ -432,42 +455,42 @@
         )
 
     def _on_append(self, sender: str, message: protocol.Append) -> None:
-        if not self._hear_leader(sender, message.term):
+        if not self._accept_leader(sender, message.term):
             self._reply(sender, message.sent, rejected=True, matched=0)
             return
-        self._leader_sent = message.sent
+        self._leader_sent_at = message.sent
         prev = message.prev_index
         entries = message.entries
         if prev < self._log.start:
-            # The snapshot holds these; what it holds is committed.
+            # These entries are in the snapshot and therefore committed.
             entries = entries[self._log.start - prev :]
             prev = min(self._log.start, prev + len(message.entries))
         elif self._log.term_at(prev) != message.prev_term:
-            hint = self._hint(prev)
+            hint = self._match_hint(prev)
             self._reply(sender, message.sent, rejected=True, matched=hint)
             return
-        self._take(entries)
-        self._verified = max(self._verified, prev + len(entries))
-        self._advance(min(message.commit, self._verified))
+        self._merge_entries(entries)
+        self._verified_index = max(self._verified_index, prev + len(entries))
+        self._advance_commit(min(message.commit, self._verified_index))
         self._reply(sender, message.sent)
 
-    def _hint(self, prev: int) -> int:
-        """Returns where the leader should try after `prev` did not match."""
+    def _match_hint(self, prev: int) -> int:
+        """Returns the index that the leader tries next after a mismatch."""
         if prev > self._log.last:
             return self._log.last
-        # Skip the whole term that differs, not one entry an exchange.
+        # Skips the complete conflicting term instead of one entry per reply.
         term = self._log.term_at(prev)
         hint = prev - 1
         while hint > self.commit and self._log.term_at(hint) == term:
             hint -= 1
         return hint
 
-    def _take(self, entries: list[storage_lib.Entry]) -> None:
+    def _merge_entries(self, entries: list[storage_lib.Entry]) -> None:
         for position, entry in enumerate(entries):
-            known = self._log.term_at(entry.index)
-            if known == entry.term:
+            stored_term = self._log.term_at(entry.index)
+            if stored_term == entry.term:
                 continue
-            if known != -1:
+            if stored_term != -1:
                 self._truncate(entry.index)
             self._write(entries[position:])
             return
@@ -478,69 +501,70 @@
         self._member_changes = [
             change for change in self._member_changes if change[0] < index
         ]
-        self._durable = min(self._durable, index - 1)
-        self._verified = min(self._verified, index - 1)
-        self._writes = collections.deque(
-            (number, min(last, index - 1)) for number, last in self._writes
+        self._durable_index = min(self._durable_index, index - 1)
+        self._verified_index = min(self._verified_index, index - 1)
+        self._pending_writes = collections.deque(
+            (number, min(last, index - 1))
+            for number, last in self._pending_writes
         )
         self._effects.append(protocol.Truncate(index))
 
     def _write(self, entries: list[storage_lib.Entry]) -> None:
         self._log.append(entries)
         for entry in entries:
-            self._note_members(entry)
+            self._record_members(entry)
         self._write_number += 1
-        self._writes.append((self._write_number, entries[-1].index))
+        self._pending_writes.append((self._write_number, entries[-1].index))
         self._effects.append(protocol.Write(self._write_number, entries))
 
-    def _note_members(self, entry: storage_lib.Entry) -> None:
+    def _record_members(self, entry: storage_lib.Entry) -> None:
         members = members_lib.decode(entry.payload)
         if members is not None:
             self._member_changes.append((entry.index, members))
 
-    def _synced(self, write: int) -> None:
-        while self._writes and self._writes[0][0] <= write:
-            _, last = self._writes.popleft()
-            self._durable = max(self._durable, last)
+    def _on_synced(self, write: int) -> None:
+        while self._pending_writes and self._pending_writes[0][0] <= write:
+            _, last = self._pending_writes.popleft()
+            self._durable_index = max(self._durable_index, last)
         if self.role == Role.LEADER:
             self._commit_by_majority()
         elif self.leader:
-            self._reply(self.leader, self._leader_sent)
+            self._reply(self.leader, self._leader_sent_at)
 
     def _on_install(self, sender: str, message: protocol.Install) -> None:
-        if not self._hear_leader(sender, message.term):
+        if not self._accept_leader(sender, message.term):
             self._reply(sender, message.sent, rejected=True, matched=0)
             return
-        self._leader_sent = message.sent
+        self._leader_sent_at = message.sent
         snapshot = message.snapshot
         if snapshot.index > self.commit:
-            keep = self._log.term_at(snapshot.index) == snapshot.term
-            self._effects.append(protocol.Restore(snapshot, keep))
-            if keep:
+            keep_log = self._log.term_at(snapshot.index) == snapshot.term
+            self._effects.append(protocol.Restore(snapshot, keep_log))
+            if keep_log:
                 self._log.compact(snapshot.index)
             else:
                 self._log.reset(snapshot.index, snapshot.term)
-                self._writes.clear()
-                self._durable = snapshot.index
+                self._pending_writes.clear()
+                self._durable_index = snapshot.index
             self._base_members = snapshot.members
             self._member_changes = [
                 change
                 for change in self._member_changes
                 if snapshot.index < change[0] <= self._log.last
             ]
-            self._durable = max(self._durable, snapshot.index)
+            self._durable_index = max(self._durable_index, snapshot.index)
             self.commit = snapshot.index
-        self._verified = max(self._verified, snapshot.index)
+        self._verified_index = max(self._verified_index, snapshot.index)
         self._reply(sender, message.sent)
 
-    # Leading.
+    # Replication by the leader.
 
     def _propose(self, payloads: list[bytes]) -> None:
         if self.role == Role.LEADER and not self._transferring and payloads:
-            self._append(payloads)
+            self._append_payloads(payloads)
             self._broadcast()
 
-    def _append(self, payloads: list[bytes]) -> None:
+    def _append_payloads(self, payloads: list[bytes]) -> None:
         first = self._log.last + 1
         self._write(
             [
@@ -557,18 +581,18 @@
         return peer
 
     def _broadcast(self) -> None:
-        self._beat_at = self._now + self._timing.heartbeat
+        self._next_heartbeat_at = self._now + self._timing.heartbeat
         for member in self.members.all:
             if member.identity != self.identity:
                 self._send_entries(member.identity)
 
     def _send_entries(self, to: str) -> None:
         peer = self._peer(to)
-        prev = peer.next - 1
+        prev = peer.next_index - 1
         if prev < self._log.start:
-            # Not with each heartbeat: a snapshot takes a while to arrive.
-            if self._now - peer.snapshot_at >= 2 * self._timing.election:
-                peer.snapshot_at = self._now
+            # Not resent with every heartbeat: delivery takes longer than that.
+            if self._now - peer.snapshot_sent_at >= 2 * self._timing.election:
+                peer.snapshot_sent_at = self._now
                 self._effects.append(
                     protocol.SendSnapshot(to, self.term, self._now)
                 )
@@ -585,35 +609,36 @@
                 sent=self._now,
             ),
         )
-        # Assumed to arrive; if not, the next is rejected with a hint.
-        peer.next = prev + len(entries) + 1
+        # Optimistic: if the message is lost, the follower rejects the next
+        # one and its reply says where to resume.
+        peer.next_index = prev + len(entries) + 1
 
     def _on_append_reply(
         self, sender: str, message: protocol.AppendReply
     ) -> None:
         if message.term > self.term:
-            self._follow(message.term, "")
+            self._become_follower(message.term, "")
             return
         if self.role != Role.LEADER or message.term != self.term:
             return
         peer = self._peer(sender)
-        peer.heard = self._now
-        peer.answered = max(peer.answered, message.sent)
+        peer.last_reply_at = self._now
+        peer.acked_sent_at = max(peer.acked_sent_at, message.sent)
         if message.rejected:
-            # A late rejection must not go back behind what is known.
-            peer.next = max(peer.matched, message.matched) + 1
+            # A delayed rejection must not move back before `matched`.
+            peer.next_index = max(peer.matched, message.matched) + 1
             self._send_entries(sender)
             return
         peer.matched = max(peer.matched, message.matched)
-        peer.next = max(peer.next, peer.matched + 1)
+        peer.next_index = max(peer.next_index, peer.matched + 1)
         self._commit_by_majority()
-        if peer.next <= self._log.last:
+        if peer.next_index <= self._log.last:
             self._send_entries(sender)
 
     def _commit_by_majority(self) -> None:
         matched = sorted(
             (
-                self._durable
+                self._durable_index
                 if m.identity == self.identity
                 else self._peer(m.identity).matched
                 for m in self.members.voters
@@ -621,37 +646,44 @@
             reverse=True,
         )
         index = matched[self.members.majority - 1]
-        # An older term's entry on a majority can still be overwritten by a
-        # leader that lacks it; only one of this term settles those before.
+        # An entry of an older term that is on a majority can still be
+        # overwritten by a leader that lacks it. Committing an entry of the
+        # current term also commits all entries before it.
         if self._log.term_at(index) != self.term:
             return
         before = self.commit
-        self._advance(index)
+        self._advance_commit(index)
         if self.commit > before:
             self._broadcast()
             if self.members.find(self.identity) is None:
-                self._follow(self.term, "")
+                self._become_follower(self.term, "")
 
-    def _advance(self, index: int) -> None:
+    def _advance_commit(self, index: int) -> None:
         if index <= self.commit:
             return
         entries = self._log.between(self.commit, index)
         self.commit = index
         self._effects.append(protocol.Commit(entries))
 
-    # Members, snapshots, hand-over.
+    # Membership changes, snapshots and leadership transfer.
 
     def _change_members(self, members: members_lib.Members) -> None:
-        before = {m.identity for m in self.members.voters}
-        after = {m.identity for m in members.voters}
+        old_voters = {m.identity for m in self.members.voters}
+        new_voters = {m.identity for m in members.voters}
         pending = (
             self._member_changes and self._member_changes[-1][0] > self.commit
         )
-        # One voter at a time keeps every old majority overlapping every new
-        # one; before an own entry is committed an older change may be hidden.
-        if not self.ready or pending or not after or len(before ^ after) > 1:
+        # With one voter changed at a time, every old majority overlaps every
+        # new one. Until an entry of the leader's own term is committed, a
+        # change by an earlier leader may exist on other replicas only.
+        if (
+            not self.ready
+            or pending
+            or not new_voters
+            or len(old_voters ^ new_voters) > 1
+        ):
             return
-        self._append([members_lib.encode(members)])
+        self._append_payloads([members_lib.encode(members)])
         self._broadcast()
 
     def _compact(self, index: int) -> None:
@@ -665,14 +697,14 @@
     def _transfer(self) -> None:
         if self.role != Role.LEADER or self._transferring:
             return
-        others = [(self._peer(o).matched, o) for o in self._others()]
+        others = [(self._peer(o).matched, o) for o in self._other_voters()]
         if not others:
             return
-        matched, heir = max(others)
+        matched, successor = max(others)
         if matched < self._log.last:
-            self._send_entries(heir)
-            return  # Asked again with the next tick of the stop.
-        # The lease ends before the heir may win: it is given up here.
+            self._send_entries(successor)
+            return  # The caller repeats the `Transfer` event until it is done.
+        # The lease is given up here, before the successor can be elected.
         self._transferring = True
-        self._transfer_ends = self._now + self._timing.election
-        self._send(heir, protocol.TimeoutNow(term=self.term))
+        self._transfer_deadline = self._now + self._timing.election
+        self._send(successor, protocol.TimeoutNow(term=self.term))
--- a/packages/endivestream/src/endivestream/version/entry_log.py
+++ b/packages/endivestream/src/endivestream/version/entry_log.py
@@ -1,4 +1,4 @@
-"""Entries in memory after a snapshot, as the agreement sees them."""
+"""In-memory log entries after the snapshot."""
 
 from __future__ import annotations
 
@@ -6,12 +6,13 @@
 
 from endivestream.version import storage as storage_lib
 
-# Bytes of entries in one message; a follower that is far behind gets several.
-_BATCH_BYTES = 1024 * 1024
+# Target size of the entries in one message. A follower that lags further
+# behind receives several messages.
+_BATCH_TARGET_BYTES = 1024 * 1024
 
 
 class EntryLog:
-    """The entries, and index and term of the snapshot before them.
+    """Log entries, with index and term of the snapshot that precedes them.
 
     Attributes:
         start: Index of the last entry that the snapshot contains.
@@ -34,7 +35,7 @@
         return self.term_at(self.last)
 
     def term_at(self, index: int) -> int:
-        """Returns an entry's term; -1 for one that is not here."""
+        """Returns the term of an entry; -1 if it is not in memory."""
         if index == self.start:
             return self._start_term
         if self.start < index <= self.last:
@@ -42,34 +43,37 @@
         return -1
 
     def between(self, after: int, last: int) -> list[storage_lib.Entry]:
-        """Returns the entries after `after`, up to `last`."""
+        """Returns the entries after `after`, up to and including `last`."""
         return self._entries[after - self.start : last - self.start]
 
     def batch(self, after: int) -> list[storage_lib.Entry]:
-        """Returns entries after `after`, as many as fit in one message."""
-        taken, size = [], 0
+        """Returns entries after `after` for one message.
+
+        The batch ends with the entry that exceeds the target size.
+        """
+        selected, size = [], 0
         for entry in self._entries[after - self.start :]:
-            taken.append(entry)
+            selected.append(entry)
             size += len(entry.payload)
-            if size > _BATCH_BYTES:
+            if size > _BATCH_TARGET_BYTES:
                 break
-        return taken
+        return selected
 
     def append(self, entries: Sequence[storage_lib.Entry]) -> None:
-        """Adds entries at the end."""
+        """Appends entries."""
         self._entries += entries
 
     def truncate(self, index: int) -> None:
-        """Drops the entries from `index` on."""
+        """Removes the entries from `index` on."""
         del self._entries[index - self.start - 1 :]
 
     def compact(self, index: int) -> None:
-        """Drops the entries up to `index`, which a snapshot contains."""
+        """Removes the entries up to `index`, which a snapshot contains."""
         term = self.term_at(index)
         self._entries = self.between(index, self.last)
         self.start, self._start_term = index, term
 
     def reset(self, index: int, term: int) -> None:
-        """Drops all entries; a snapshot of another history replaces them."""
+        """Replaces all entries by a snapshot of a divergent history."""
         self.start, self._start_term = index, term
         self._entries = []
--- a/packages/endivestream/src/endivestream/version/members.py
+++ b/packages/endivestream/src/endivestream/version/members.py
@@ -1,4 +1,4 @@
-"""Who takes part in the replicated log."""
+"""Membership of the replicated log: voters and learners."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 import msgspec
 
-# The first byte of a log entry that changes the members. Commands are maps,
-# whose encoding never starts with it, and a leader's first entry is empty.
+# First byte of the payload of a membership entry. Commands are encoded as
+# maps, which never start with this byte; a leader's first entry is empty.
 MARK = b"M"
 
 
@@ -15,9 +15,10 @@
     """One replica.
 
     Attributes:
-        identity: Made with its data folder, so a lost disk is a new member.
-        name: Its host's name.
-        address: Where its control role listens.
+        identity: Created with the data folder; a replica that lost its disk
+            is a new member.
+        name: Name of its host.
+        address: Listening address of its control role.
     """
 
     identity: str
@@ -26,11 +27,11 @@
 
 
 class Members(NamedTuple):
-    """All replicas, as one entry of the log sets them.
+    """The replicas of the log, as set by one membership entry.
 
     Attributes:
-        voters: Replicas that elect and whose majority commits.
-        learners: Replicas that only receive, until they have caught up.
+        voters: Replicas that vote in elections and count for commits.
+        learners: Replicas that only receive entries until they catch up.
     """
 
     voters: tuple[Member, ...] = ()
@@ -43,32 +44,34 @@
 
     @property
     def majority(self) -> int:
-        """Voters that make a majority."""
+        """Number of voters in a majority."""
         return len(self.voters) // 2 + 1
 
     def is_voter(self, identity: str) -> bool:
-        """Tells whether a replica votes."""
+        """Returns whether a replica is a voter."""
         return any(member.identity == identity for member in self.voters)
 
     def find(self, identity: str) -> Member | None:
-        """Returns the member of that identity, or None."""
+        """Returns the member with this identity, or None."""
         for member in self.all:
             if member.identity == identity:
                 return member
         return None
 
     def with_learner(self, member: Member) -> Members:
-        """Returns these with one learner more."""
+        """Returns the members with `member` added as a learner."""
         return Members(self.voters, (*self.learners, member))
 
     def promoted(self, identity: str) -> Members:
-        """Returns these with a learner made voter."""
-        chosen = tuple(m for m in self.learners if m.identity == identity)
-        rest = tuple(m for m in self.learners if m.identity != identity)
-        return Members(self.voters + chosen, rest)
+        """Returns the members with a learner promoted to voter."""
+        promoted_learners = tuple(
+            m for m in self.learners if m.identity == identity
+        )
+        remaining = tuple(m for m in self.learners if m.identity != identity)
+        return Members(self.voters + promoted_learners, remaining)
 
     def without(self, identity: str) -> Members:
-        """Returns these without one replica."""
+        """Returns the members without one replica."""
         return Members(
             tuple(m for m in self.voters if m.identity != identity),
             tuple(m for m in self.learners if m.identity != identity),
@@ -84,7 +87,7 @@
 
 
 def decode(payload: bytes) -> Members | None:
-    """Reads the members from an entry's payload; None if it sets none."""
+    """Decodes the payload of a membership entry; None for other entries."""
     if payload[:1] != MARK:
         return None
     return _decoder.decode(payload[1:])
--- a/packages/endivestream/src/endivestream/version/protocol.py
+++ b/packages/endivestream/src/endivestream/version/protocol.py
@@ -1,4 +1,8 @@
-"""What goes into and comes out of the agreement: messages, events, effects."""
+"""Inputs and outputs of the consensus state machine.
+
+Messages between replicas, events passed to `consensus.Replica.step` and
+effects returned by it.
+"""
 
 from __future__ import annotations
 
@@ -11,15 +15,14 @@
 
 
 class Timing(NamedTuple):
-    """Times in seconds.
+    """Consensus timing parameters, in seconds.
 
     Attributes:
-        heartbeat: How often a leader speaks to each follower.
-        election: The least time without a leader before an election; the
-            greatest is twice that.
-        lease: How long after a majority heard it a leader may assume that no
-            other is elected. Less than `election` by more than clocks drift
-            in that time.
+        heartbeat: Interval of the leader's heartbeats to each follower.
+        election: Minimum election timeout; the maximum is twice that.
+        lease: Duration of the leader lease, counted from the sending of a
+            message that a majority acknowledged. Shorter than `election` by
+            more than the clocks can drift apart in that time.
     """
 
     heartbeat: float
@@ -27,12 +30,12 @@
     lease: float
 
 
-# Messages between replicas. `sent` is the leader's clock when it sent; the
-# reply gives it back, so that the leader's lease counts from the sending.
+# Messages between replicas. `sent` is the leader's clock at sending time; the
+# reply echoes it, so that the leader lease counts from the sending.
 
 
 class PreVote(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Asks whether an election in `term` could be won. Binds nobody."""
+    """Requests a non-binding vote for an election in `term`."""
 
     term: int
     last_index: int
@@ -40,20 +43,26 @@
 
 
 class PreVoteReply(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Answers `PreVote`; `term` is the asked one if granted."""
+    """Reply to `PreVote`.
+
+    Attributes:
+        term: The requested term if granted, else the replica's own term.
+        granted: Whether the replica would vote for the sender.
+    """
 
     term: int
     granted: bool
 
 
 class RequestVote(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Asks for the vote in `term`.
+    """Requests a vote in `term`.
 
     Attributes:
         term: The candidate's term.
-        last_index: Its last entry.
-        last_term: That entry's term.
-        transfer: The old leader asked for this election.
+        last_index: Index of the candidate's last entry.
+        last_term: Term of that entry.
+        transfer: Whether the old leader requested this election; voters then
+            ignore its lease.
     """
 
     term: int
@@ -63,14 +72,14 @@
 
 
 class VoteReply(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Answers `RequestVote`."""
+    """Reply to `RequestVote`."""
 
     term: int
     granted: bool
 
 
 class Append(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Entries after `prev_index`, or a heartbeat without any."""
+    """Entries after `prev_index`; without entries, a heartbeat."""
 
     term: int
     prev_index: int
@@ -81,13 +90,15 @@
 
 
 class AppendReply(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Answers `Append` and `Install`.
+    """Reply to `Append` and `Install`.
 
     Attributes:
         term: The follower's term.
-        matched: Entries up to here are the leader's and synced.
-        rejected: The follower lacks `prev_index`; `matched` is where to try.
-        sent: As in the message answered.
+        matched: Index up to which the follower's log matches the leader's
+            and is synced; after a rejection, the index to try next.
+        rejected: Whether the sender's term is old, or the follower's log does
+            not match at `prev_index`.
+        sent: Echo of `sent` in the message that this replies to.
     """
 
     term: int
@@ -97,7 +108,7 @@
 
 
 class Install(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """A whole snapshot, for a follower whose next entry is gone."""
+    """A complete snapshot, for a follower whose next entry was compacted."""
 
     term: int
     snapshot: storage_lib.SnapshotFile
@@ -105,7 +116,7 @@
 
 
 class TimeoutNow(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Asks a follower to stand for election at once."""
+    """Requests that a follower start an election immediately."""
 
     term: int
 
@@ -126,44 +137,44 @@
 
 
 class Tick(NamedTuple):
-    """Time has passed. `jitter` is from 0 to 1, anew each time."""
+    """Timer tick. `jitter` is from 0 to 1, drawn again for each tick."""
 
     jitter: float
 
 
 class Received(NamedTuple):
-    """A message came."""
+    """A message from another replica was received."""
 
     sender: str
     message: Message
 
 
 class Proposed(NamedTuple):
-    """Payloads to commit; only a leader takes them."""
+    """Payloads to commit; ignored unless the replica is the leader."""
 
     payloads: list[bytes]
 
 
 class Synced(NamedTuple):
-    """The write of that number, and all before it, are durable."""
+    """The write with this number and all earlier writes are durable."""
 
     write: int
 
 
 class Compacted(NamedTuple):
-    """A snapshot up to `index` is durable; entries up to it may go."""
+    """A snapshot up to `index` is durable; entries up to it can be dropped."""
 
     index: int
 
 
 class ChangeMembers(NamedTuple):
-    """Set other members; one voter's difference at a time."""
+    """Change the members; ignored if more than one voter differs."""
 
     members: members_lib.Members
 
 
 class Transfer(NamedTuple):
-    """Hand leadership over before a planned stop."""
+    """Transfer leadership to another voter before a planned stop."""
 
 
 Event = (
@@ -175,31 +186,32 @@
 
 
 class SaveVote(NamedTuple):
-    """Make term and vote durable before the next effect."""
+    """Store term and vote durably before executing the next effect."""
 
     vote: storage_lib.Vote
 
 
 class Truncate(NamedTuple):
-    """Drop entries from `index` on."""
+    """Remove entries from `index` on."""
 
     index: int
 
 
 class Write(NamedTuple):
-    """Append entries; `Synced(number)` once they are durable."""
+    """Append entries; pass `Synced(number)` once they are durable."""
 
     number: int
     entries: list[storage_lib.Entry]
 
 
 class Restore(NamedTuple):
-    """Make a snapshot durable and take its state, before the next effect.
+    """Store a snapshot durably and restore its state before the next effect.
 
     Attributes:
         snapshot: The snapshot.
-        keep_log: Whether entries after it stay; if not, all go, but only once
-            the snapshot is durable: some were acknowledged.
+        keep_log: Whether to keep entries after the snapshot. If false, the
+            complete log is removed, but only once the snapshot is durable,
+            because some of its entries were acknowledged.
     """
 
     snapshot: storage_lib.SnapshotFile
@@ -207,14 +219,14 @@
 
 
 class Send(NamedTuple):
-    """Send a message; it may be lost."""
+    """Send a message; delivery is not guaranteed."""
 
     to: str
     message: Message
 
 
 class SendSnapshot(NamedTuple):
-    """Send the stored snapshot in an `Install`."""
+    """Send the stored snapshot in an `Install` message."""
 
     to: str
     term: int
@@ -222,7 +234,7 @@
 
 
 class Commit(NamedTuple):
-    """Apply these entries, in order."""
+    """Apply committed entries in log order."""
 
     entries: list[storage_lib.Entry]
 
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -1,8 +1,8 @@
-"""The agreement under dropped, doubled, reordered and one-way messages.
+"""Consensus under lost, duplicated, reordered and one-way messages.
 
-Replicas are pure, so a whole cluster with its disks and its network fits
-into one object, driven by one seed. Disks keep what was synced; a crash keeps
-any prefix of what was written after that.
+Replicas are deterministic state machines, so one object simulates a cluster
+with its disks and its network, driven by one seed. Disks keep what was synced;
+a crash keeps any prefix of the writes after the last sync.
 """
 
 import collections
@@ -17,14 +17,14 @@
 from hypothesis import strategies as st
 
 TIMING = protocol.Timing(heartbeat=0.1, election=0.5, lease=0.42)
-# Clocks of replicas run up to this much fast or slow.
-DRIFT = 0.05
+# Maximum relative rate error of a replica's clock.
+MAX_CLOCK_DRIFT = 0.05
 
-# What may happen next, and how often.
-_DEEDS = {
+# Actions of an episode, with their relative frequencies.
+_ACTIONS = {
     "deliver": 50,
     "drop": 3,
-    "double": 3,
+    "duplicate": 3,
     "tick": 20,
     "sync": 12,
     "propose": 25,
@@ -33,12 +33,12 @@
     "transfer": 1,
     "round": 40,
 }
-# What an episode begins with, and how often.
+# Faults at the start of an episode, with their relative frequencies.
 _FAULTS = {
     "none": 3,
     "partition": 3,
     "one_way": 3,
-    "mute": 2,
+    "leader_one_way": 2,
     "crash": 4,
     "crash_all": 1,
 }
@@ -49,7 +49,7 @@
 
 
 class _Disk:
-    """What of a replica outlives a crash."""
+    """Simulated disk of a replica: synced data and pending writes."""
 
     def __init__(self):
         self.vote = storage.Vote(0, "")
@@ -62,16 +62,16 @@
         for operation in self.pending[:count]:
             match operation:
                 case protocol.Truncate(index=index):
-                    self._cut(index)
+                    self._truncate(index)
                 case protocol.Write(entries=entries):
                     self.entries += entries
         del self.pending[:count]
 
-    def _cut(self, index):
+    def _truncate(self, index):
         self.entries = [e for e in self.entries if e.index < index]
 
     def restore(self, effect):
-        # A real replica rewrites its log here, pending writes and all.
+        # A real replica rewrites its log here, including pending writes.
         self.sync(len(self.pending))
         self.snapshot = effect.snapshot
         self.entries = [
@@ -82,14 +82,15 @@
 
 
 class Cluster:
-    """Replicas, disks, a bag of messages, and the invariants."""
+    """Simulated cluster: replicas, disks, messages in flight, invariants."""
 
-    def __init__(self, seed, voters=3, spares=2):
+    def __init__(self, seed, voters=3, spare_count=2):
         self.rng = random.Random(seed)
         self.now = 0.0
-        self.disks = {f"r{n}": _Disk() for n in range(voters + spares)}
-        self.rates = {
-            name: 1 + self.rng.uniform(-DRIFT, DRIFT) for name in self.disks
+        self.disks = {f"r{n}": _Disk() for n in range(voters + spare_count)}
+        self.clock_rates = {
+            name: 1 + self.rng.uniform(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT)
+            for name in self.disks
         }
         first = members_lib.Members(
             tuple(_member(f"r{n}") for n in range(voters))
@@ -97,17 +98,17 @@
         for disk in self.disks.values():
             disk.snapshot = storage.SnapshotFile(0, 0, b"", first)
         self.replicas = {}
-        self.bag = []
-        self.cut = set()
+        self.in_flight = []
+        self.blocked_links = set()
         self.committed = {}
         self.applied = collections.defaultdict(int)
-        self.leaders = {}
+        self.leader_by_term = {}
         self.acknowledged = 0
         for name in self.disks:
             self.start(name)
 
-    def clock(self, name):
-        return self.now * self.rates[name]
+    def local_time(self, name):
+        return self.now * self.clock_rates[name]
 
     def start(self, name):
         disk = self.disks[name]
@@ -118,7 +119,7 @@
             snapshot=(disk.snapshot.index, disk.snapshot.term),
             snapshot_members=disk.snapshot.members,
             entries=disk.entries,
-            now=self.clock(name),
+            now=self.local_time(name),
             jitter=self.rng.random(),
         )
         self.applied[name] = disk.snapshot.index
@@ -134,7 +135,7 @@
         if replica is None:
             return
         disk = self.disks[name]
-        for effect in replica.step(event, self.clock(name)):
+        for effect in replica.step(event, self.local_time(name)):
             match effect:
                 case protocol.SaveVote(vote=vote):
                     disk.vote = vote
@@ -144,12 +145,12 @@
                     disk.restore(effect)
                     self.applied[name] = snapshot.index
                 case protocol.Send(to=to, message=message):
-                    self.bag.append((name, to, message))
+                    self.in_flight.append((name, to, message))
                 case protocol.SendSnapshot(to=to, term=term, sent=sent):
                     message = protocol.Install(
                         term=term, snapshot=disk.snapshot, sent=sent
                     )
-                    self.bag.append((name, to, message))
+                    self.in_flight.append((name, to, message))
                 case protocol.Commit(entries=entries):
                     self._apply(name, entries)
         self._check(name, replica)
@@ -170,30 +171,37 @@
         for entry in entries:
             assert entry.index == self.applied[name] + 1, (name, entry)
             self.applied[name] = entry.index
-            known = self.committed.setdefault(entry.index, entry)
-            assert known == entry, f"{name}: {entry} against {known}"
+            first_applied = self.committed.setdefault(entry.index, entry)
+            assert first_applied == entry, (
+                f"{name}: {entry} against {first_applied}"
+            )
 
     def _check(self, name, replica):
         leads = replica.role == consensus.Role.LEADER
-        if leads and replica.term not in self.leaders:
+        if leads and replica.term not in self.leader_by_term:
             for index, entry in self.committed.items():
-                found = replica.term_at(index)
+                found_term = replica.term_at(index)
                 compacted = index <= self.disks[name].snapshot.index
                 if entry.term <= replica.term and not compacted:
-                    assert found == entry.term, (name, index, found, entry)
+                    assert found_term == entry.term, (
+                        name,
+                        index,
+                        found_term,
+                        entry,
+                    )
         if leads:
-            other = self.leaders.setdefault(replica.term, name)
+            other = self.leader_by_term.setdefault(replica.term, name)
             assert other == name, f"two leaders in term {replica.term}"
-        holders = [
+        lease_holders = [
             other
             for other, r in self.replicas.items()
-            if r.lease_until > self.clock(other)
+            if r.lease_until > self.local_time(other)
         ]
-        assert len(holders) <= 1, f"leases of {holders}"
+        assert len(lease_holders) <= 1, f"leases of {lease_holders}"
 
     def deliver(self, position):
-        sender, to, message = self.bag.pop(position)
-        if (sender, to) not in self.cut:
+        sender, to, message = self.in_flight.pop(position)
+        if (sender, to) not in self.blocked_links:
             self.step(to, protocol.Received(sender, message))
 
     def tick(self, seconds):
@@ -208,30 +216,30 @@
         return None
 
     def episode(self):
-        """One fault, then deeds of the network, the disks and operators."""
+        """Injects one fault, then runs random actions."""
         rng = self.rng
         names = sorted(self.disks)
         match rng.choices(list(_FAULTS), list(_FAULTS.values()))[0]:
             case "none":
-                self.cut.clear()
-                self.settle(rng.randint(5, 40))
+                self.blocked_links.clear()
+                self.run_rounds(rng.randint(5, 40))
             case "partition":
-                side = set(rng.sample(names, rng.randint(1, len(names) - 1)))
-                self.cut = {
+                group = set(rng.sample(names, rng.randint(1, len(names) - 1)))
+                self.blocked_links = {
                     (a, b)
                     for a in names
                     for b in names
-                    if (a in side) != (b in side)
+                    if (a in group) != (b in group)
                 }
             case "one_way":
-                self.cut = {
+                self.blocked_links = {
                     (a, b) for a in names for b in names if rng.random() < 0.3
                 }
-            case "mute":
-                # The leader is heard by nobody, or hears nobody.
+            case "leader_one_way":
+                # Blocks all messages from the leader, or all messages to it.
                 leader = self.leader() or names[0]
                 outward = rng.random() < 0.5
-                self.cut = {
+                self.blocked_links = {
                     (leader, n) if outward else (n, leader) for n in names
                 }
             case "crash":
@@ -242,24 +250,24 @@
                 for name in list(self.replicas):
                     self.crash(name)
         for _ in range(rng.randint(5, 40)):
-            self.deed()
+            self.run_action()
         for name in names:
             if name not in self.replicas and rng.random() < 0.7:
                 self.start(name)
 
-    def deed(self):
+    def run_action(self):
         rng = self.rng
         name = rng.choice(sorted(self.disks))
-        match rng.choices(list(_DEEDS), list(_DEEDS.values()))[0]:
-            case "deliver" if self.bag:
-                # Mostly in order, sometimes long after.
-                last = len(self.bag) - 1
-                old = rng.random() < 0.7
-                self.deliver(0 if old else rng.randint(0, last))
-            case "drop" if self.bag:
-                self.bag.pop(rng.randrange(len(self.bag)))
-            case "double" if self.bag:
-                self.bag.append(rng.choice(self.bag))
+        match rng.choices(list(_ACTIONS), list(_ACTIONS.values()))[0]:
+            case "deliver" if self.in_flight:
+                # Mostly in order, sometimes out of order.
+                last = len(self.in_flight) - 1
+                in_order = rng.random() < 0.7
+                self.deliver(0 if in_order else rng.randint(0, last))
+            case "drop" if self.in_flight:
+                self.in_flight.pop(rng.randrange(len(self.in_flight)))
+            case "duplicate" if self.in_flight:
+                self.in_flight.append(rng.choice(self.in_flight))
             case "tick":
                 self.tick(rng.choice((0.05, 0.1, 0.1, 0.3, 0.6)))
             case "sync":
@@ -278,16 +286,16 @@
                 self.round()
 
     def round(self):
-        """A heartbeat's time in which most messages and writes get through."""
+        """Runs one heartbeat interval; most messages and writes succeed."""
         for name in sorted(self.replicas):
             if self.rng.random() < 0.6:
                 self.sync(name)
-        for _ in range(len(self.bag)):
-            fate = self.rng.random()
-            if fate < 0.85:
+        for _ in range(len(self.in_flight)):
+            draw = self.rng.random()
+            if draw < 0.85:
                 self.deliver(0)
-            elif fate < 0.9:
-                self.bag.append(self.bag.pop(0))
+            elif draw < 0.9:
+                self.in_flight.append(self.in_flight.pop(0))
         self.tick(0.1)
 
     def compact(self, name):
@@ -295,7 +303,7 @@
         disk = self.disks[name]
         if replica is None or replica.commit <= disk.snapshot.index:
             return
-        # As the driver does: a snapshot is taken of synced entries only.
+        # As in `replicate.Replicator`: snapshots cover synced entries only.
         self.sync(name)
         index = replica.commit
         term = replica.term_at(index)
@@ -318,24 +326,24 @@
         if len(changed.voters) >= 2:
             self.step(leader, protocol.ChangeMembers(changed))
 
-    def settle(self, rounds):
-        """Lets the network and the disks work for a while."""
+    def run_rounds(self, rounds):
+        """Runs heartbeat intervals in which nothing fails."""
         for _ in range(rounds):
             for name in sorted(self.replicas):
                 self.sync(name)
-            for _ in range(len(self.bag)):
+            for _ in range(len(self.in_flight)):
                 self.deliver(0)
             self.tick(0.1)
 
     def recover(self):
-        """Ends all faults; the cluster must commit again."""
-        self.cut.clear()
+        """Ends all faults and checks that the cluster commits again."""
+        self.blocked_links.clear()
         for name in self.disks:
             if name not in self.replicas:
                 self.start(name)
         before = len(self.committed)
         for _ in range(40):
-            self.settle(5)
+            self.run_rounds(5)
             leader = self.leader()
             if leader:
                 self.step(leader, protocol.Proposed([b"last"]))
@@ -358,90 +366,105 @@
             cluster.episode()
         cluster.recover()
 
-    def test_cut_off_leader_stops_leading(self):
-        """Callers of a cut-off leader are not left waiting.
+    def test_partitioned_leader_steps_down(self):
+        """Callers of a leader without incoming messages would wait forever.
 
-        The leader hears nothing any more but can still send: the others keep
-        hearing it and elect nobody until it gives up within an election time.
+        The leader receives nothing but can still send, so the others keep
+        receiving heartbeats and elect nobody. The leader must step down
+        within one election timeout.
         """
         cluster = Cluster(1)
-        cluster.settle(40)
+        cluster.run_rounds(40)
         leader = cluster.leader()
-        cluster.cut = {(other, leader) for other in cluster.disks}
-        cluster.settle(15)
+        cluster.blocked_links = {(other, leader) for other in cluster.disks}
+        cluster.run_rounds(15)
         self.assertFalse(cluster.replicas[leader].ready)
-        cluster.settle(40)
+        cluster.run_rounds(40)
         self.assertNotIn(cluster.leader(), (None, leader))
 
-    def test_returning_replica_does_not_depose_the_leader(self):
-        """The leader's term stays when a cut-off replica comes back."""
+    def test_rejoining_replica_does_not_depose_the_leader(self):
+        """A replica that rejoins after a partition would depose the leader.
+
+        Without pre-vote it would return with a higher term.
+        """
         cluster = Cluster(2)
-        cluster.settle(40)
+        cluster.run_rounds(40)
         leader = cluster.leader()
         other = next(n for n in ("r0", "r1", "r2") if n != leader)
-        everybody = list(cluster.disks)
-        cluster.cut = {(other, n) for n in everybody}
-        cluster.cut |= {(n, other) for n in everybody}
-        cluster.settle(100)
+        all_names = list(cluster.disks)
+        cluster.blocked_links = {(other, n) for n in all_names}
+        cluster.blocked_links |= {(n, other) for n in all_names}
+        cluster.run_rounds(100)
         term = cluster.replicas[leader].term
-        cluster.cut.clear()
-        cluster.settle(40)
+        cluster.blocked_links.clear()
+        cluster.run_rounds(40)
         self.assertEqual(cluster.leader(), leader)
         self.assertEqual(cluster.replicas[leader].term, term)
 
-    def test_second_loss_right_after_a_repair_keeps_a_majority(self):
-        """Changes are accepted although two of three first voters are gone.
+    def test_second_voter_failure_after_replacement_keeps_majority(self):
+        """The cluster would lose its majority after two successive crashes.
 
-        One voter is lost; a spare learns, is promoted, the lost one leaves.
-        Right then another voter is lost.
+        One of three voters crashes; a spare replica joins as learner, is
+        promoted, and the crashed voter is removed. Then another of the
+        original voters crashes.
         """
         cluster = Cluster(3)
-        cluster.settle(40)
+        cluster.run_rounds(40)
         leader = cluster.leader()
-        lost, second = (n for n in ("r0", "r1", "r2") if n != leader)
-        cluster.crash(lost)
+        first_failed, second_failed = (
+            n for n in ("r0", "r1", "r2") if n != leader
+        )
+        cluster.crash(first_failed)
         replica = cluster.replicas[leader]
         for change in (
             lambda m: m.with_learner(_member("r3")),
             lambda m: m.promoted("r3"),
-            lambda m: m.without(lost),
+            lambda m: m.without(first_failed),
         ):
             before = replica.members
             cluster.step(
                 leader, protocol.ChangeMembers(change(replica.members))
             )
             self.assertNotEqual(replica.members, before)
-            cluster.settle(10)
-        cluster.crash(second)
+            cluster.run_rounds(10)
+        cluster.crash(second_failed)
         before = len(cluster.committed)
-        cluster.settle(40)
+        cluster.run_rounds(40)
         cluster.step(cluster.leader(), protocol.Proposed([b"x"]))
-        cluster.settle(10)
+        cluster.run_rounds(10)
         self.assertGreater(len(cluster.committed), before)
 
-    def test_replica_that_slept_catches_up_by_one_snapshot(self):
-        """A replica that missed 500 entries has them after one exchange."""
+    def test_restarted_replica_catches_up_by_one_snapshot(self):
+        """A replica that was down for 500 entries would not catch up.
+
+        The entries that it lacks were compacted on the leader.
+        """
         cluster = Cluster(4)
-        cluster.settle(40)
+        cluster.run_rounds(40)
         leader = cluster.leader()
         other = next(n for n in ("r0", "r1", "r2") if n != leader)
         cluster.crash(other)
         for number in range(500):
             cluster.step(leader, protocol.Proposed([b"%d" % number]))
             if number % 50 == 0:
-                cluster.settle(1)
-        cluster.settle(20)
+                cluster.run_rounds(1)
+        cluster.run_rounds(20)
         cluster.compact(leader)
         cluster.start(other)
-        cluster.settle(40)
+        cluster.run_rounds(40)
         self.assertEqual(
             cluster.replicas[other].commit, cluster.replicas[leader].commit
         )
         self.assertGreater(cluster.disks[other].snapshot.index, 400)
 
-    def test_two_voters_cannot_change_at_once(self):
+    def test_two_voters_cannot_change_in_one_step(self):
+        """Two disjoint majorities could commit different entries.
+
+        Removing two voters at a time, or a second voter before the first change
+        is committed, must be ignored.
+        """
         cluster = Cluster(5)
-        cluster.settle(40)
+        cluster.run_rounds(40)
         leader = cluster.leader()
         replica = cluster.replicas[leader]
         before = replica.members
@@ -453,9 +476,12 @@
             cluster.step(leader, protocol.ChangeMembers(changed))
             self.assertEqual(replica.members, before)
         cluster.step(leader, protocol.ChangeMembers(before.without(others[0])))
-        once = replica.members
-        cluster.step(leader, protocol.ChangeMembers(once.without(others[1])))
-        self.assertEqual(replica.members, once)
+        after_first_change = replica.members
+        cluster.step(
+            leader,
+            protocol.ChangeMembers(after_first_change.without(others[1])),
+        )
+        self.assertEqual(replica.members, after_first_change)
 
 
 def _entries(*terms):
@@ -466,13 +492,13 @@
 
 
 def _replica(terms=(), *, term=None, now=100.0):
-    """A replica `a` of voters a, b, c with entries of the given terms."""
+    """Returns replica `a` of voters a, b, c with entries of these terms."""
     voters = tuple(_member(name) for name in "abc")
-    newest = max(terms, default=0) if term is None else term
+    latest_term = max(terms, default=0) if term is None else term
     return consensus.Replica(
         identity="a",
         timing=TIMING,
-        vote=storage.Vote(newest, ""),
+        vote=storage.Vote(latest_term, ""),
         snapshot=(0, 0),
         snapshot_members=members_lib.Members(voters),
         entries=_entries(*terms),
@@ -481,8 +507,8 @@
     )
 
 
-def _leader(terms=()):
-    """A replica that has just been elected, at time 101; nothing synced."""
+def _new_leader(terms=()):
+    """Returns a replica elected at time 101 that has synced nothing."""
     replica = _replica(terms)
     replica.step(protocol.Tick(0.0), 101.0)
     term = replica.term + 1
@@ -494,7 +520,7 @@
     return replica
 
 
-def _append(term, prev, prev_term, terms, commit=0):
+def _append_message(term, prev, prev_term, terms, commit=0):
     entries = [
         storage.Entry(t, prev + n, b"%d-%d" % (t, prev + n))
         for n, t in enumerate(terms, start=1)
@@ -509,13 +535,13 @@
     )
 
 
-def _reply(replica, matched, *, sent=101.0):
+def _append_reply(replica, matched, *, sent=101.0):
     return protocol.AppendReply(
         term=replica.term, matched=matched, rejected=False, sent=sent
     )
 
 
-def _matched(effects):
+def _matched_indices(effects):
     return [
         effect.message.matched
         for effect in effects
@@ -525,72 +551,85 @@
 
 
 class SafeguardTest(unittest.TestCase):
-    """One safeguard each, with the failure that it prevents.
+    """Tests of one safeguard each; docstrings name the failure it prevents.
 
-    Random runs seldom meet these orders of events, so each is set up here.
+    Random runs rarely reach these orders of events, so each is set up here.
     """
 
-    def test_older_term_is_not_committed_by_counting(self):
-        """An accepted entry would be overwritten by a later leader.
+    def test_older_term_entry_is_not_committed_by_replica_count(self):
+        """A committed entry would be overwritten by a later leader.
 
-        A leader of term 4 finds an entry of term 2 on a majority. A replica
+        A leader of term 4 sees an entry of term 2 on a majority. A replica
         with an entry of term 3 can still be elected and overwrite it.
         """
-        replica = _leader((1, 2))
+        replica = _new_leader((1, 2))
         replica.step(protocol.Synced(1), 101.0)
-        replica.step(protocol.Received("b", _reply(replica, 2)), 101.1)
+        replica.step(protocol.Received("b", _append_reply(replica, 2)), 101.1)
         self.assertEqual(replica.commit, 0)
-        replica.step(protocol.Received("b", _reply(replica, 3)), 101.2)
+        replica.step(protocol.Received("b", _append_reply(replica, 3)), 101.2)
         self.assertEqual(replica.commit, 3)
 
-    def test_follower_acknowledges_only_what_is_synced(self):
-        """A crash of the follower would lose an entry that it counted for."""
+    def test_follower_acknowledges_only_synced_entries(self):
+        """A crash of the follower would lose an entry that it acknowledged."""
         replica = _replica()
         effects = replica.step(
-            protocol.Received("b", _append(1, 0, 0, [1, 1])), 100.1
+            protocol.Received("b", _append_message(1, 0, 0, [1, 1])), 100.1
         )
-        self.assertEqual(_matched(effects), [0])
-        self.assertEqual(_matched(replica.step(protocol.Synced(1), 100.2)), [2])
+        self.assertEqual(_matched_indices(effects), [0])
+        self.assertEqual(
+            _matched_indices(replica.step(protocol.Synced(1), 100.2)), [2]
+        )
+
+    def test_leader_counts_own_entry_only_when_synced(self):
+        """A crash of the leader would lose a committed entry.
 
-    def test_leader_counts_itself_only_when_synced(self):
-        """A crash of the leader would lose an entry that one other has."""
-        replica = _leader()
-        replica.step(protocol.Received("b", _reply(replica, 1)), 101.1)
+        The entry was synced by one follower only.
+        """
+        replica = _new_leader()
+        replica.step(protocol.Received("b", _append_reply(replica, 1)), 101.1)
         self.assertEqual(replica.commit, 0)
         replica.step(protocol.Synced(1), 101.2)
         self.assertEqual(replica.commit, 1)
 
-    def test_late_sync_of_overwritten_entries_counts_for_nothing(self):
-        """An entry would count as durable while only its predecessor is.
+    def test_late_sync_of_overwritten_entries_is_not_counted(self):
+        """An entry would count as durable although only the one it replaced is.
 
         Entries of term 1 are being synced when a new leader overwrites them;
-        the answer of the first sync comes after that.
+        the first sync completes after that.
         """
         replica = _replica()
-        replica.step(protocol.Received("b", _append(1, 0, 0, [1, 1])), 100.1)
-        replica.step(protocol.Received("c", _append(2, 0, 0, [2, 2])), 100.2)
-        self.assertEqual(_matched(replica.step(protocol.Synced(1), 100.3)), [0])
+        replica.step(
+            protocol.Received("b", _append_message(1, 0, 0, [1, 1])), 100.1
+        )
+        replica.step(
+            protocol.Received("c", _append_message(2, 0, 0, [2, 2])), 100.2
+        )
+        self.assertEqual(
+            _matched_indices(replica.step(protocol.Synced(1), 100.3)), [0]
+        )
 
-    def test_entries_of_an_older_leader_are_not_acknowledged(self):
-        """The leader would count entries that it does not have itself.
+    def test_unmatched_entries_of_an_older_leader_are_not_acknowledged(self):
+        """The leader would count entries that it does not have.
 
-        A heartbeat matches at the start of the log; behind it stand entries
-        that the leader never saw.
+        A heartbeat matches at the start of the log; the follower's log
+        continues with entries that the leader never received.
         """
         replica = _replica((1, 1, 1))
         effects = replica.step(
-            protocol.Received("b", _append(2, 0, 0, [])), 100.1
+            protocol.Received("b", _append_message(2, 0, 0, [])), 100.1
         )
-        self.assertEqual(_matched(effects), [0])
+        self.assertEqual(_matched_indices(effects), [0])
 
-    def test_vote_is_refused_while_a_leader_relies_on_it(self):
-        """Two leaders would hold the lease at once.
+    def test_vote_is_refused_during_a_leader_lease(self):
+        """Two leaders would hold a lease at the same time.
 
-        The replica heard its leader a moment ago; a candidate that did not
-        asks for its vote. Not even its term is taken over.
+        The replica received a heartbeat 0.1 s ago; a candidate that received
+        none requests its vote. The candidate's term is not adopted either.
         """
         replica = _replica()
-        replica.step(protocol.Received("b", _append(1, 0, 0, [])), 105.0)
+        replica.step(
+            protocol.Received("b", _append_message(1, 0, 0, [])), 105.0
+        )
         vote = protocol.RequestVote(
             term=9, last_index=5, last_term=5, transfer=False
         )
@@ -599,11 +638,11 @@
         replica.step(protocol.Received("c", vote), 106.0)
         self.assertEqual(replica.term, 9)
 
-    def test_restarted_replica_keeps_the_promise_it_forgot(self):
-        """Two leaders would hold the lease at once.
+    def test_restarted_replica_does_not_vote_during_an_old_lease(self):
+        """Two leaders would hold a lease at the same time.
 
-        The replica heard its leader, restarted within a moment and is asked
-        for its vote.
+        The replica restarts within the lease of its leader, has lost the time
+        of the last heartbeat, and receives a vote request.
         """
         replica = _replica(now=100.0)
         vote = protocol.RequestVote(
@@ -612,36 +651,37 @@
         replica.step(protocol.Received("c", vote), 100.1)
         self.assertEqual(replica.term, 0)
 
-    def test_lease_counts_from_the_sending(self):
-        """A slow answer would stretch the lease past a new election."""
-        replica = _leader()
+    def test_lease_starts_at_the_sending_time(self):
+        """A slow reply would extend the lease past a new election."""
+        replica = _new_leader()
         replica.step(protocol.Synced(1), 101.0)
-        reply = _reply(replica, 1, sent=101.0)
+        reply = _append_reply(replica, 1, sent=101.0)
         replica.step(protocol.Received("b", reply), 101.3)
         self.assertAlmostEqual(replica.lease_until, 101.0 + TIMING.lease)
 
-    def test_hand_over_ends_the_lease_for_good(self):
-        """The heir may win at any time after it was asked.
+    def test_leadership_transfer_ends_the_lease_permanently(self):
+        """The old leader would hold a lease while its successor leads.
 
-        Also when the hand-over seems to have failed: the request may be on
-        its way, and the heir's election asks for votes past all promises.
+        The successor may win at any time after `TimeoutNow` was sent, even if
+        the transfer seems to have failed: the message may still be in flight,
+        and the votes that it triggers ignore leases.
         """
-        replica = _leader()
+        replica = _new_leader()
         replica.step(protocol.Synced(1), 101.0)
-        replica.step(protocol.Received("b", _reply(replica, 1)), 101.0)
+        replica.step(protocol.Received("b", _append_reply(replica, 1)), 101.0)
         self.assertGreater(replica.lease_until, 101.0)
         replica.step(protocol.Transfer(), 101.0)
         self.assertLess(replica.lease_until, 101.0)
         for tenth in range(1, 8):
             now = 101.0 + tenth / 10
-            reply = _reply(replica, 1, sent=now)
+            reply = _append_reply(replica, 1, sent=now)
             replica.step(protocol.Received("b", reply), now)
             replica.step(protocol.Tick(0.0), now)
             self.assertLess(replica.lease_until, now)
         self.assertEqual(replica.role, consensus.Role.FOLLOWER)
 
     def test_snapshot_keeps_matching_entries_after_it(self):
-        """Acknowledged entries after the snapshot would be lost."""
+        """Acknowledged entries after the snapshot would be removed."""
         replica = _replica((1, 1, 1))
         install = protocol.Install(
             term=1, snapshot=storage.SnapshotFile(2, 1, b""), sent=1.0
@@ -651,7 +691,11 @@
         self.assertTrue(restore.keep_log)
         self.assertEqual(replica.last_index, 3)
 
-    def test_snapshot_drops_entries_of_another_history(self):
+    def test_snapshot_drops_entries_of_a_divergent_history(self):
+        """Entries that conflict with the snapshot would stay in the log.
+
+        The follower's entry at the snapshot's index has another term.
+        """
         replica = _replica((1, 1, 1))
         install = protocol.Install(
             term=2, snapshot=storage.SnapshotFile(2, 2, b""), sent=1.0
