--- a/packages/endivestream/src/endivestream/version/replicate.py
+++ b/packages/endivestream/src/endivestream/version/replicate.py
@@ -1,9 +1,9 @@
-"""The task that carries out what the agreement asks for: files, links, state.
+"""Driver of the consensus state machine: storage, messages, replicated state.
 
-`consensus.Replica` decides; this module owns the storage, the replicated
-state and the clock, and passes messages on. Writes gather while the disk
-syncs (group commit): nobody waits for a timer, and one sync serves all that
-came meanwhile.
+`consensus.Replica` makes the decisions; this module owns the storage, the
+replicated state and the clock, and executes the effects. Writes are
+group-committed: those that arrive during a sync share the next one, and no
+write waits for a timer.
 """
 
 from __future__ import annotations
@@ -24,37 +24,39 @@
 from endivestream.version import state as state_lib
 from endivestream.version import storage as storage_lib
 
-# A snapshot is taken after this many bytes of log; reading them back at a
-# start takes well under a second.
+# Log size that triggers a snapshot. Replaying a log of this size at startup
+# takes well under a second.
 SNAPSHOT_AFTER_BYTES = 8 * 1024 * 1024
 
 
 class NotLeaderError(Exception):
-    """This replica does not lead.
+    """This replica is not the leader.
 
     Attributes:
-        address: Where the leader listens, or empty if it is not known.
+        address: Listening address of the leader; empty if unknown.
     """
 
     def __init__(self, address: str) -> None:
-        super().__init__(f"not the leader; it is at {address or 'unknown'}")
+        super().__init__(
+            f"not the leader; leader address: {address or 'unknown'}"
+        )
         self.address = address
 
 
 class LostError(Exception):
-    """Leadership was lost before the commit: it may or may not last."""
+    """The outcome of a proposal is unknown: it may or may not be committed."""
 
 
-class _Pending(NamedTuple):
+class _PendingProposal(NamedTuple):
     term: int
-    done: asyncio.Future[state_lib.Result]
+    future: asyncio.Future[state_lib.Result]
 
 
 class Replicator:
-    """One replica: its storage, its state, and its part in the agreement.
+    """One replica: its storage, replicated state and consensus state.
 
     Attributes:
-        state: The replicated state; only this task changes it.
+        state: The replicated state, modified only by this class.
     """
 
     def __init__(
@@ -83,15 +85,17 @@
         self._random = random.Random()
         self._replica: consensus.Replica | None = None
         self._addresses: dict[str, str] = {}
-        self._queue: list[tuple[state_lib.Command, asyncio.Future]] = []
-        self._pending: dict[int, _Pending] = {}
-        self._applied = 0
-        self._led = False
-        self._was = (consensus.Role.FOLLOWER, "")
-        self._to_sync = 0
-        self._sync_wanted = asyncio.Event()
+        self._proposal_queue: list[
+            tuple[state_lib.Command, asyncio.Future]
+        ] = []
+        self._pending: dict[int, _PendingProposal] = {}
+        self._applied_index = 0
+        self._reported_ready = False
+        self._logged_role = (consensus.Role.FOLLOWER, "")
+        self._last_write_number = 0
+        self._sync_requested = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
-        self._sending: set[asyncio.Task[None]] = set()
+        self._send_tasks: set[asyncio.Task[None]] = set()
         self._closed = False
 
     @property
@@ -106,14 +110,14 @@
 
     @property
     def replica(self) -> consensus.Replica:
-        """The agreement's state, to read."""
+        """The consensus state; callers only read it."""
         assert self._replica is not None, "not started"
         return self._replica
 
     @property
     def index(self) -> int:
         """Index of the last applied entry."""
-        return self._applied
+        return self._applied_index
 
     @property
     def term(self) -> int:
@@ -122,20 +126,24 @@
 
     @property
     def leads(self) -> bool:
-        """Whether this leads and surely nobody else does."""
+        """Whether this replica is the leader and holds a valid lease."""
         return not self._closed and (self.replica.lease_until > clock.now())
 
     @property
     def leader_address(self) -> str:
-        """Where the leader listens, or empty if it is unknown or this one."""
+        """Listening address of another leader; empty if unknown or itself."""
         leader = self.replica.leader
         return "" if leader == self.identity else self._address_of(leader)
 
     def _address_of(self, identity: str) -> str:
-        """Returns where a replica listens: as it says itself, if heard."""
+        """Returns the listening address of a replica; empty if unknown.
+
+        The address in the replica's own messages takes precedence over the
+        one in the membership entry.
+        """
         member = self.replica.members.find(identity)
-        known = member.address if member else ""
-        return self._addresses.get(identity, known)
+        registered = member.address if member else ""
+        return self._addresses.get(identity, registered)
 
     def start(
         self,
@@ -144,30 +152,32 @@
         alone: bool = False,
         founders: Sequence[members_lib.Member] = (),
     ) -> None:
-        """Reads the state back and takes part.
+        """Loads the stored state and joins the consensus group.
 
         Args:
-            form: Whether to form a new system if there is none in the folder.
-            founders: With `form`: the voters of the new system, the same on
-                all of them; only this one if empty.
-            alone: Whether to go on as the only voter, after a majority of
-                disks was lost for good.
+            form: Whether to bootstrap a new system if the folder holds none.
+            founders: With `form`: the initial voters, identical on all of
+                them; only this replica if empty.
+            alone: Whether to continue as the only voter, after the disks of
+                a majority were lost permanently.
 
         Raises:
             storage_lib.CorruptError: The stored data is damaged.
-            OSError: It cannot be read or written.
+            OSError: The stored data cannot be read or written.
         """
-        begun = clock.now()
+        started_at = clock.now()
         self._storage.start()
-        known = self._storage.snapshot.members.voters or self._storage.entries
-        if form and not known:
-            self._form(founders)
+        has_stored_state = (
+            self._storage.snapshot.members.voters or self._storage.entries
+        )
+        if form and not has_stored_state:
+            self._form_system(founders)
         if alone:
             self._stand_alone()
         snapshot = self._storage.snapshot
         if snapshot.data:
             self.state.restore(snapshot.data)
-        self._applied = snapshot.index
+        self._applied_index = snapshot.index
         self._replica = consensus.Replica(
             identity=self.identity,
             timing=self._timing,
@@ -184,18 +194,18 @@
             term=self.term,
             index=self.replica.last_index,
             voters=len(self.replica.members.voters),
-            seconds=clock.now() - begun,
+            seconds=clock.now() - started_at,
         )
         self._tasks = [
             tasks.start(self._tick(), "tick"),
             tasks.start(self._sync(), "sync"),
         ]
 
-    def _form(self, founders: Sequence[members_lib.Member]) -> None:
-        """Makes this replica a voter of a new system.
+    def _form_system(self, founders: Sequence[members_lib.Member]) -> None:
+        """Bootstraps a new system with this replica as a voter.
 
-        All founders write the same first members, so that any majority of
-        them is one: nothing is accepted by fewer, not even at the start.
+        All founders store the same initial members, so a majority of the
+        founders is required from the first commit on.
         """
         members = members_lib.Members(tuple(founders) or (self.me,))
         self._storage.save_snapshot(
@@ -204,10 +214,11 @@
         logs.event("system_formed", identity=self.identity[:8])
 
     def _stand_alone(self) -> None:
-        """Makes this replica the only voter of the system it was part of.
+        """Makes this replica the only voter of its system.
 
-        All its entries count as accepted: some may not have been, and some
-        that were may be on the lost disks only. An operator chose that.
+        All of its entries are treated as committed. Some of them may not
+        have been, and some committed entries may exist only on the lost
+        disks. Runs only when an operator requests it.
         """
         state = state_lib.State()
         snapshot = self._storage.snapshot
@@ -226,63 +237,65 @@
         logs.warn("standing_alone", identity=self.identity[:8], index=index)
 
     async def close(self) -> None:
-        """Hands leadership over if there is an heir, then stops."""
+        """Transfers leadership if there are other voters, then stops."""
         if self._replica is not None and not self._closed:
-            await self._hand_over()
+            await self._transfer_leadership()
         self._closed = True
-        await tasks.cancel((*self._tasks, *self._sending))
+        await tasks.cancel((*self._tasks, *self._send_tasks))
         self._fail_pending(LostError("the host is stopping"))
         self._storage.close()
 
-    async def _hand_over(self) -> None:
-        """Makes a planned stop cost no election timeout."""
-        until = clock.now() + self._timing.election
+    async def _transfer_leadership(self) -> None:
+        """Transfers leadership, to avoid an election timeout on shutdown."""
+        deadline = clock.now() + self._timing.election
         while (
             self.replica.role == consensus.Role.LEADER
             and len(self.replica.members.voters) > 1
-            and clock.now() < until
+            and clock.now() < deadline
         ):
             self._step(protocol.Transfer())
             await asyncio.sleep(self._timing.heartbeat / 2)
 
     async def propose(self, command: state_lib.Command) -> state_lib.Result:
-        """Commits a command and returns what applying it gave.
+        """Commits a command and returns the result of applying it.
 
         Raises:
-            NotLeaderError: Nothing was done.
-            LostError: It may or may not last.
-            OSError: The disk failed; it may or may not last.
+            NotLeaderError: The command was not appended.
+            LostError: Leadership was lost; the command may be committed.
+            OSError: The disk failed; the command may be committed.
         """
         if self._closed:
             raise NotLeaderError("")
-        done = asyncio.get_running_loop().create_future()
-        self._queue.append((command, done))
-        if len(self._queue) == 1:
-            asyncio.get_running_loop().call_soon(self._flush)
-        return await done
-
-    def _flush(self) -> None:
-        """Proposes all that gathered in this turn of the loop."""
-        batch, self._queue = self._queue, []
+        future = asyncio.get_running_loop().create_future()
+        self._proposal_queue.append((command, future))
+        if len(self._proposal_queue) == 1:
+            asyncio.get_running_loop().call_soon(self._flush_proposals)
+        return await future
+
+    def _flush_proposals(self) -> None:
+        """Proposes the commands queued in this event loop iteration."""
+        batch, self._proposal_queue = self._proposal_queue, []
         first = self.replica.last_index + 1
         payloads = [state_lib.encode(command) for command, _ in batch]
         self._step(protocol.Proposed(payloads))
-        taken = not self._closed and self.replica.last_index >= first
-        for offset, (_, done) in enumerate(batch):
-            if taken:
-                self._pending[first + offset] = _Pending(self.term, done)
-            elif not done.done():
-                done.set_exception(NotLeaderError(self.leader_address))
+        accepted = not self._closed and self.replica.last_index >= first
+        for offset, (_, future) in enumerate(batch):
+            if accepted:
+                self._pending[first + offset] = _PendingProposal(
+                    self.term, future
+                )
+            elif not future.done():
+                future.set_exception(NotLeaderError(self.leader_address))
 
     async def receive(
         self, sender: str, address: str, message: protocol.Message
     ) -> None:
-        """Takes a message of another replica in."""
+        """Processes a message from another replica."""
         self._addresses[sender] = address
         self._step(protocol.Received(sender, message))
 
     def change_members(self, members: members_lib.Members) -> bool:
-        """Sets other members; False if that cannot be done now."""
+        """Proposes a membership change; returns False if it was rejected."""
         self._step(protocol.ChangeMembers(members))
         return self.replica.members == members
 
@@ -293,11 +306,12 @@
 
     async def _sync(self) -> None:
         while True:
-            await self._sync_wanted.wait()
-            self._sync_wanted.clear()
-            number = self._to_sync
+            await self._sync_requested.wait()
+            self._sync_requested.clear()
+            number = self._last_write_number
             try:
-                # Milliseconds on a disk; requests go on meanwhile.
+                # In a thread: a sync takes milliseconds, and the event loop
+                # must keep serving requests.
                 await asyncio.to_thread(self._storage.prepare_sync())
             except OSError as error:
                 self._fail(error)
@@ -309,18 +323,18 @@
             return
         try:
             for effect in self.replica.step(event, clock.now()):
-                self._carry_out(effect)
+                self._execute(effect)
             if self._storage.size > SNAPSHOT_AFTER_BYTES:
                 self._compact()
         except OSError as error:
-            # After a failed write or sync the kernel may have dropped the
-            # pages and reported the error once: going on would acknowledge
-            # entries that a crash then loses. So the process stops.
+            # After a failed write or sync the kernel may drop the dirty pages
+            # and report the error only once. Continuing would acknowledge
+            # entries that a crash then loses, so the process stops.
             self._fail(error)
             return
-        self._note_role()
+        self._report_role()
 
-    def _carry_out(self, effect: protocol.Effect) -> None:
+    def _execute(self, effect: protocol.Effect) -> None:
         match effect:
             case protocol.SaveVote(vote=vote):
                 self._storage.save_vote(vote)
@@ -328,50 +342,52 @@
                 self._storage.truncate_from(index)
             case protocol.Write(number=number, entries=entries):
                 self._storage.append(entries)
-                self._to_sync = number
-                self._sync_wanted.set()
+                self._last_write_number = number
+                self._sync_requested.set()
             case protocol.Restore(snapshot=snapshot, keep_log=keep_log):
                 self._storage.save_snapshot(snapshot, keep_log=keep_log)
                 self.state.restore(snapshot.data)
-                self._applied = snapshot.index
+                self._applied_index = snapshot.index
                 self._on_restored()
                 logs.event("snapshot_taken_over", index=snapshot.index)
             case protocol.Send(to=to, message=message):
-                self._post(to, message)
+                self._start_send(to, message)
             case protocol.SendSnapshot(to=to, term=term, sent=sent):
                 message = protocol.Install(
                     term=term, snapshot=self._storage.snapshot, sent=sent
                 )
-                self._post(to, message)
+                self._start_send(to, message)
             case protocol.Commit(entries=entries):
                 self._apply(entries)
 
-    def _post(self, to: str, message: protocol.Message) -> None:
+    def _start_send(self, to: str, message: protocol.Message) -> None:
         address = self._address_of(to)
         if not address:
             return
         task = asyncio.create_task(self._send(to, address, message))
-        self._sending.add(task)
-        task.add_done_callback(self._sending.discard)
+        self._send_tasks.add(task)
+        task.add_done_callback(self._send_tasks.discard)
 
     def _apply(self, entries: list[storage_lib.Entry]) -> None:
         for entry in entries:
             result = None
-            self._applied = entry.index
+            self._applied_index = entry.index
             if entry.payload[:1] not in (b"", members_lib.MARK):
                 command = state_lib.decode(entry.payload)
                 result = self.state.apply(entry.index, command)
                 self._on_applied(command, result)
             pending = self._pending.pop(entry.index, None)
-            if pending is None or pending.done.done():
+            if pending is None or pending.future.done():
                 continue
             if pending.term == entry.term and result is not None:
-                pending.done.set_result(result)
+                pending.future.set_result(result)
             else:
-                pending.done.set_exception(LostError("another leader's entry"))
+                pending.future.set_exception(
+                    LostError("replaced by an entry of another leader")
+                )
 
     def _compact(self) -> None:
-        index = self._applied
+        index = self._applied_index
         if index <= self._storage.snapshot.index:
             return
         snapshot = storage_lib.SnapshotFile(
@@ -384,10 +400,10 @@
         self.replica.step(protocol.Compacted(index), clock.now())
         logs.event("snapshot", index=index, bytes=len(snapshot.data))
 
-    def _note_role(self) -> None:
+    def _report_role(self) -> None:
         replica = self.replica
-        if (replica.role, replica.leader) != self._was:
-            self._was = (replica.role, replica.leader)
+        if (replica.role, replica.leader) != self._logged_role:
+            self._logged_role = (replica.role, replica.leader)
             logs.event(
                 "role",
                 role=replica.role,
@@ -396,15 +412,15 @@
             )
         if replica.role != consensus.Role.LEADER and self._pending:
             self._fail_pending(LostError("leadership was lost"))
-        if replica.ready != self._led:
-            self._led = replica.ready
-            self._on_role(self._led)
+        if replica.ready != self._reported_ready:
+            self._reported_ready = replica.ready
+            self._on_role(self._reported_ready)
 
     def _fail_pending(self, error: Exception) -> None:
         pending, self._pending = self._pending, {}
-        for each in pending.values():
-            if not each.done.done():
-                each.done.set_exception(error)
+        for proposal in pending.values():
+            if not proposal.future.done():
+                proposal.future.set_exception(error)
 
     def _fail(self, error: OSError) -> None:
         logs.warn("log_failed", error=repr(error))
--- a/tests/test_replicate.py
+++ b/tests/test_replicate.py
@@ -54,7 +54,8 @@
         self.assertTrue(await self.roles.get())
         return replicator
 
-    async def test_state_outlives_the_process(self):
+    async def test_state_survives_a_restart(self):
+        """Committed commands would be lost when the process restarts."""
         first = await self._started()
         await asyncio.gather(*(first.propose(_begin(n)) for n in range(50)))
         await first.close()
@@ -62,12 +63,12 @@
         second = await self._started()
         self.assertEqual(len(second.state.calls), 50)
 
-    async def test_failing_sync_stops_rather_than_goes_on(self):
-        """The caller gets an error, and the process is told to stop.
+    async def test_failed_sync_stops_the_replicator(self):
+        """Entries that a crash then loses would be acknowledged.
 
-        The disk fails once. The kernel may have dropped what was written and
-        reports it only this time: a second sync would succeed and acknowledge
-        what a crash then loses.
+        A sync fails once. The kernel may have dropped the written pages and
+        reports the error only once, so a second sync would succeed. The
+        caller must get an error and the replicator must stop.
         """
         storage = storage_lib.Storage(folder=self.folder)
         replicator = await self._started(storage)
@@ -85,7 +86,8 @@
         self.assertEqual(len(self.failed), 1)
         self.assertFalse(replicator.leads)
 
-    async def test_full_disk_stops_rather_than_goes_on(self):
+    async def test_full_disk_stops_the_replicator(self):
+        """A replicator would keep running after a write to the log failed."""
         storage = storage_lib.Storage(folder=self.folder)
         replicator = await self._started(storage)
 
@@ -97,10 +99,11 @@
             await replicator.propose(_begin(2))
         self.assertEqual(len(self.failed), 1)
 
-    async def test_log_is_compacted_and_read_back(self):
-        most = replicate.SNAPSHOT_AFTER_BYTES
+    async def test_compacted_log_is_read_back(self):
+        """State or members would be lost when a snapshot replaces the log."""
+        original = replicate.SNAPSHOT_AFTER_BYTES
         replicate.SNAPSHOT_AFTER_BYTES = 2000
-        self.addCleanup(setattr, replicate, "SNAPSHOT_AFTER_BYTES", most)
+        self.addCleanup(setattr, replicate, "SNAPSHOT_AFTER_BYTES", original)
         first = await self._started()
         for number in range(60):
             await first.propose(_begin(number))
@@ -111,11 +114,11 @@
         self.assertEqual(len(second.state.calls), 60)
         self.assertEqual(second.replica.members.voters[0].name, "a")
 
-    async def test_stands_alone_when_a_majority_is_lost_for_good(self):
-        """Operators go on with what one surviving disk holds.
+    async def test_sole_survivor_leads_after_a_majority_is_lost(self):
+        """The last surviving voter could not be brought back into service.
 
-        Of three voters two are gone; without the operator's word the one
-        that is left never leads.
+        The disks of two of three voters are lost. The remaining replica
+        leads only if it is started with `alone`.
         """
         first = await self._started()
         await first.propose(_begin(1))
@@ -132,10 +135,10 @@
         storage.save_snapshot(snapshot)
         storage.close()
         self.roles = asyncio.Queue()
-        cut_off = self._replicator()
-        cut_off.start(form=True)
-        self.assertEqual(len(cut_off.replica.members.voters), 3)
-        await cut_off.close()
+        without_quorum = self._replicator()
+        without_quorum.start(form=True)
+        self.assertEqual(len(without_quorum.replica.members.voters), 3)
+        await without_quorum.close()
         alone = await self._started(alone=True)
         self.assertEqual(len(alone.state.calls), 1)
         await alone.propose(_begin(2))
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -31,7 +31,11 @@
         opened.close()
         return entries
 
-    def test_reads_back_what_was_synced(self):
+    def test_synced_entries_are_read_back(self):
+        """Synced entries would be lost, or removed entries would reappear.
+
+        The log is truncated and continued after it was read back.
+        """
         entries = self._write(5)
         opened = self._open()
         self.assertEqual(opened.entries, entries)
@@ -62,11 +66,11 @@
             opened.close()
             self.assertEqual(self._open().entries[-1].payload, b"next")
 
-    def test_corrupt_middle_is_refused_with_its_place(self):
-        """The start is refused and names file and offset.
+    def test_corrupt_middle_is_rejected_with_file_and_offset(self):
+        """Acknowledged entries would be lost by truncation.
 
-        A bit flips in an entry that others follow. Cutting there would drop
-        acknowledged entries, so an operator must look.
+        A bit flips in an entry that others follow. Opening the log must fail
+        with file and offset, so that an operator can decide.
         """
         self._write(5)
         path = self.folder / "log"
@@ -76,25 +80,29 @@
         with self.assertRaisesRegex(storage.CorruptError, r"log: .*offset 31"):
             self._open()
 
-    def test_corrupt_vote_or_snapshot_is_refused(self):
+    def test_corrupt_vote_or_snapshot_is_rejected(self):
+        """A replica would start with a wrong vote or state.
+
+        The last byte of the file is damaged, so its checksum does not match.
+        """
         opened = self._open()
         opened.save_vote(storage.Vote(3, "a"))
         opened.save_snapshot(storage.SnapshotFile(0, 0, b"state"))
         opened.close()
         for name in ("vote", "snapshot"):
             path = self.folder / name
-            sound = path.read_bytes()
-            path.write_bytes(sound[:-1] + b"\xff")
+            valid = path.read_bytes()
+            path.write_bytes(valid[:-1] + b"\xff")
             with self.assertRaisesRegex(storage.CorruptError, name):
                 self._open()
-            path.write_bytes(sound)
+            path.write_bytes(valid)
         self.assertEqual(self._open().vote, storage.Vote(3, "a"))
 
-    def test_crash_between_snapshot_and_log_is_harmless(self):
-        """Entries that the snapshot contains already are skipped.
+    def test_crash_between_snapshot_and_log_rewrite_is_harmless(self):
+        """Entries that the snapshot contains would be loaded again.
 
-        The snapshot was renamed into place and the process died before the
-        log was rewritten.
+        The process crashes after the snapshot was renamed into place and
+        before the log is rewritten.
         """
         self._write(5)
         before = (self.folder / "log").read_bytes()
@@ -106,11 +114,11 @@
         self.assertEqual([e.index for e in opened.entries], [4, 5])
         self.assertEqual(opened.snapshot.index, 3)
 
-    def test_sync_goes_on_while_the_log_is_rewritten(self):
-        """A snapshot during a sync does not stop the process.
+    def test_sync_succeeds_while_the_log_is_rewritten(self):
+        """A snapshot during a sync would stop the process.
 
-        The sync was prepared, the log is rewritten and its old descriptor
-        closed, then the sync runs.
+        After the sync was prepared, the log is rewritten and its old
+        descriptor closed; then the sync runs.
         """
         opened = self._open()
         opened.append([storage.Entry(1, 1, b"x")])
@@ -121,13 +129,18 @@
         opened.sync()
         self.assertEqual([e.index for e in opened.entries], [2])
 
-    def test_lost_identity_beside_a_log_is_refused(self):
+    def test_missing_identity_beside_a_log_is_rejected(self):
+        """A replica with an existing log would get a new identity."""
         self._write(1)
         (self.folder / "identity").unlink()
         with self.assertRaisesRegex(storage.CorruptError, "identity"):
             self._open()
 
-    def test_fresh_folder_has_a_fresh_identity(self):
+    def test_new_folder_gets_a_new_identity(self):
+        """A replica that lost its disk could vote twice in one term.
+
+        Its new folder must not give it the old identity.
+        """
         first = self._open().identity
         self.assertEqual(self._open().identity, first)
         with tempfile.TemporaryDirectory() as other:
