--- a/packages/endivestream/src/endivestream/version/calls.py
+++ b/packages/endivestream/src/endivestream/version/calls.py
@@ -1,8 +1,8 @@
-"""Records of non-idempotent calls, so that each runs at most once.
+"""Records of non-idempotent calls, which ensure at-most-once execution.
 
-A call's record is begun in the log before anything is sent, and ended with
-its answer. Whoever resends the call gets the stored answer, or learns that
-its fate is unknown; it is never sent a second time.
+A record is committed to the log before the call is sent to a target, and
+completed with the response. A retry of the call receives the stored response,
+or an error that the outcome is unknown; the call is never sent again.
 """
 
 from __future__ import annotations
@@ -15,30 +15,31 @@
 
 import msgspec
 
-# A record's answer is kept this long; a timed key older than this is refused.
-LIFETIME_SECONDS = 24 * 3600.0
-# Clocks of callers and hosts may differ by this much.
-CLOCK_SKEW_SECONDS = 300.0
-# Keys that carry no time cannot be forgotten safely: their digests stay. Above
-# this many, calls under such keys are refused and timed keys asked for.
-OPAQUE_KEYS_KEPT = 100_000
-# A stored answer is bounded so that the state is; a longer one is kept
-# without its body, and a resend is told so.
+# Records are kept this long; older keys that carry a time are rejected.
+RECORD_LIFETIME_SECONDS = 24 * 3600.0
+# Maximum difference between the clocks of callers and hosts.
+MAX_CLOCK_SKEW_SECONDS = 300.0
+# Keys that carry no time (opaque keys) cannot be dropped safely, so their
+# digests are kept. Above this number, calls with new opaque keys are rejected
+# and the caller must use keys that carry a time.
+MAX_OPAQUE_KEYS = 100_000
+# Bounds the size of the replicated state. The body of a longer response is
+# truncated, and the replayed response is marked as truncated.
 BODY_KEPT_BYTES = 16 * 1024
 
-_SECONDS_PREFIX = re.compile(r"(\d{10})[-.:]")
+_UNIX_TIME_PREFIX = re.compile(r"(\d{10})[-.:]")
 
 
 class BeginCall(msgspec.Struct, frozen=True, kw_only=True, tag=True):
     """Claims the right to send a call once.
 
     Attributes:
-        team: The caller's team.
-        service: The service called.
-        key: The Idempotency-Key.
+        team: Team of the caller.
+        service: Service that is called.
+        key: Value of the Idempotency-Key header.
         fingerprint: Digest of method, path and body.
-        holder: The claiming attempt, as `host/incarnation/attempt`.
-        at: Unix time in seconds.
+        holder: Attempt that claims the call, as `host/incarnation/attempt`.
+        at: Unix time of the claim, in seconds.
     """
 
     team: str
@@ -50,18 +51,18 @@
 
 
 class EndCall(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Stores the answer of a call.
+    """Stores the outcome of a call.
 
     Attributes:
         team: As in `BeginCall`.
         service: As in `BeginCall`.
         key: As in `BeginCall`.
-        holder: The attempt that sent it.
-        outcome: `done`, `unknown`, or `not_run` when it is proved that
-            nothing was sent; the latter frees the key.
-        status: HTTP status of the answer.
-        content_type: Of the body.
-        body: The answer, at most `BODY_KEPT_BYTES`.
+        holder: Attempt that holds the claim.
+        outcome: `done`, `unknown`, or `not_run` if it is certain that nothing
+            was sent; `not_run` releases the key.
+        status: HTTP status of the response.
+        content_type: Content type of the body.
+        body: Body of the response, at most `BODY_KEPT_BYTES`.
     """
 
     team: str
@@ -75,11 +76,11 @@
 
 
 class AbandonCalls(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Marks calls of a host's dead incarnation as unknown.
+    """Marks running calls of a host's earlier incarnations as unknown.
 
     Attributes:
-        host: The host's name.
-        before: Calls of incarnations below this one are abandoned.
+        host: Name of the host.
+        before: Calls of incarnations lower than this one are abandoned.
     """
 
     host: str
@@ -87,10 +88,10 @@
 
 
 class ExpireCalls(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Forgets answers that have outlived their time.
+    """Removes records older than `RECORD_LIFETIME_SECONDS`.
 
     Attributes:
-        now: Unix time in seconds, as the proposer saw it.
+        now: Unix time of the proposer, in seconds.
     """
 
     now: float
@@ -100,16 +101,16 @@
 
 
 class Record(NamedTuple):
-    """What is known of a call.
+    """State and response of a call.
 
     Attributes:
         fingerprint: Digest of method, path and body.
-        holder: The attempt that may send it.
+        holder: Attempt that may send the call.
         state: `running`, `done` or `unknown`.
-        begun: Unix time in seconds.
-        status: HTTP status of the stored answer.
-        content_type: Of the stored answer.
-        body: The stored answer.
+        begun: Unix time of the claim, in seconds.
+        status: HTTP status of the stored response.
+        content_type: Content type of the stored response.
+        body: Body of the stored response.
     """
 
     fingerprint: str
@@ -122,15 +123,15 @@
 
 
 class Begun(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """The claim was granted: send once, then end."""
+    """The claim was granted: the holder may send the call once."""
 
 
 class Known(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """The call has a record already.
+    """The call already has a record.
 
     Attributes:
-        record: The record.
-        same: Whether the fingerprint is the same.
+        record: The existing record.
+        same: Whether its fingerprint equals that of the new claim.
     """
 
     record: Record
@@ -138,7 +139,7 @@
 
 
 class Forgotten(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """The call's answer was kept once and is gone; it must not run again.
+    """The call must not run: its record expired or could not be kept.
 
     Attributes:
         reason: `expired` or `too_many_opaque_keys`.
@@ -148,26 +149,26 @@
 
 
 class Ended(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """The bookkeeping command was applied."""
+    """Result of every command except `BeginCall`."""
 
 
 Result = Begun | Known | Forgotten | Ended
 
 
 class Snapshot(msgspec.Struct, frozen=True, kw_only=True):
-    """All records, as they are stored."""
+    """All records and the digests of expired opaque keys."""
 
     records: dict[str, Record]
     opaque: list[bytes]
 
 
-def time_of(key: str) -> float | None:
+def key_time(key: str) -> float | None:
     """Returns the Unix time that an Idempotency-Key carries, or None.
 
     A key carries its time as a UUID of version 7, or as ten digits of Unix
     seconds before `-`, `.` or `:`.
     """
-    match = _SECONDS_PREFIX.match(key)
+    match = _UNIX_TIME_PREFIX.match(key)
     if match:
         return float(match.group(1))
     try:
@@ -179,25 +180,25 @@
     return None
 
 
-def _bound_time(key: str, begun: float) -> float | None:
-    """Returns the key's time if it bounds the key's use, else None.
+def _trusted_key_time(key: str, started_at: float) -> float | None:
+    """Returns the time that a key carries, or None if it has no valid one.
 
-    A time ahead of the clock would still be young when the record is
-    forgotten (symptom: a call runs again a day later), so it does not count.
+    A time in the future is ignored: such a key would not have expired yet
+    when its record is removed (symptom: a call runs again a day later).
     """
-    made = time_of(key)
-    if made is None or made > begun + CLOCK_SKEW_SECONDS:
+    created_at = key_time(key)
+    if created_at is None or created_at > started_at + MAX_CLOCK_SKEW_SECONDS:
         return None
-    return made
+    return created_at
 
 
-def _process_of(holder: str) -> tuple[str, int]:
-    """Returns host name and incarnation of a holder."""
+def _holder_process(holder: str) -> tuple[str, int]:
+    """Parses host name and incarnation from a holder."""
     host, incarnation, _ = holder.split("/", 2)
     return host, int(incarnation)
 
 
-def _name(team: str, service: str, key: str) -> str:
+def _record_key(team: str, service: str, key: str) -> str:
     return f"{team}\0{service}\0{key}"
 
 
@@ -206,14 +207,14 @@
 
 
 class Calls:
-    """The replicated records."""
+    """The replicated records of non-idempotent calls."""
 
     def __init__(self) -> None:
         self._records: dict[str, Record] = {}
-        self._opaque: set[bytes] = set()
-        # Names of running calls by the process that holds them. Looking
-        # through all records for each host that comes in took the leader
-        # 5 s when 390 hosts came back to 30,000 records.
+        self._opaque_digests: set[bytes] = set()
+        # Keys of running calls by host name and incarnation of their holder.
+        # Without this index the leader scanned all records for each host that
+        # connected: 5 s when 390 hosts reconnected with 30,000 records.
         self._running: dict[tuple[str, int], set[str]] = {}
 
     def __len__(self) -> int:
@@ -225,25 +226,25 @@
 
     @property
     def running_hosts(self) -> Collection[tuple[str, int]]:
-        """Host names and incarnations that have calls running."""
+        """Host names and incarnations that hold running calls."""
         return self._running.keys()
 
-    def _put(self, name: str, record: Record | None) -> None:
-        """Replaces or drops a record, and keeps the index of running ones."""
-        before = self._records.pop(name, None)
-        if before is not None and before.state == "running":
-            holder = _process_of(before.holder)
+    def _set_record(self, name: str, record: Record | None) -> None:
+        """Sets or removes a record and updates the index of running calls."""
+        previous = self._records.pop(name, None)
+        if previous is not None and previous.state == "running":
+            holder = _holder_process(previous.holder)
             self._running[holder].discard(name)
             if not self._running[holder]:
                 del self._running[holder]
         if record is not None:
             self._records[name] = record
             if record.state == "running":
-                holder = _process_of(record.holder)
+                holder = _holder_process(record.holder)
                 self._running.setdefault(holder, set()).add(name)
 
     def apply(self, command: Command) -> Result:
-        """Applies one command in log order; the same on every replica."""
+        """Applies one command in log order, deterministically."""
         match command:
             case BeginCall():
                 return self._begin(command)
@@ -256,49 +257,53 @@
         return Ended()
 
     def _begin(self, command: BeginCall) -> Result:
-        name = _name(command.team, command.service, command.key)
+        name = _record_key(command.team, command.service, command.key)
         record = self._records.get(name)
         if record is not None:
-            # A resent claim of the same attempt is the same claim: the answer
-            # to its first send may have been lost before anything ran.
+            # The holder repeats its claim: the reply to the first one may
+            # have been lost before the call was sent.
             if record.holder == command.holder and record.state == "running":
                 return Begun()
             same = record.fingerprint == command.fingerprint
             return Known(record=record, same=same)
-        # Asked of every key: one whose time lay ahead at its first use was
-        # remembered by its digest, and looks like a timed key a day later.
-        if _opaque_digest(name) in self._opaque:
+        # Checked for every key: a key whose time was in the future at its
+        # first use is kept as an opaque key, but a day later it looks like a
+        # key that carries a valid time.
+        if _opaque_digest(name) in self._opaque_digests:
             return Forgotten(reason="expired")
-        made = _bound_time(command.key, command.at)
-        if made is None:
-            if len(self._opaque) >= OPAQUE_KEYS_KEPT:
+        created_at = _trusted_key_time(command.key, command.at)
+        if created_at is None:
+            if len(self._opaque_digests) >= MAX_OPAQUE_KEYS:
                 return Forgotten(reason="too_many_opaque_keys")
-        elif made < command.at - LIFETIME_SECONDS + CLOCK_SKEW_SECONDS:
-            # A record lives LIFETIME_SECONDS from its begin, and a key is
-            # taken only while it is younger than that less the skew: when a
-            # record is forgotten its key is already too old to run again.
+        elif (
+            created_at
+            < command.at - RECORD_LIFETIME_SECONDS + MAX_CLOCK_SKEW_SECONDS
+        ):
+            # A record is kept for RECORD_LIFETIME_SECONDS, and a key is
+            # accepted only while it is younger than that minus the clock
+            # skew. When a record is removed, its key is already too old.
             return Forgotten(reason="expired")
-        self._put(
+        self._set_record(
             name,
             Record(command.fingerprint, command.holder, "running", command.at),
         )
         return Begun()
 
     def _end(self, command: EndCall) -> None:
-        name = _name(command.team, command.service, command.key)
+        name = _record_key(command.team, command.service, command.key)
         record = self._records.get(name)
         if record is None or record.holder != command.holder:
             return
         if command.outcome == "not_run":
-            # Only the holder can prove it, and only before it sent a byte.
+            # Only the holder can be certain that it sent no byte.
             if record.state == "running":
-                self._put(name, None)
+                self._set_record(name, None)
             return
-        # An abandoned call whose sender was alive after all has an answer:
-        # unknown becomes done. The reverse never happens.
+        # If the holder of an abandoned call was only unreachable, its response
+        # may still arrive: unknown becomes done. The reverse never happens.
         if record.state == "done":
             return
-        self._put(
+        self._set_record(
             name,
             record._replace(
                 state=command.outcome,
@@ -308,35 +313,35 @@
             ),
         )
 
-    def _abandon(self, host: str, before: int) -> None:
-        dead = [
+    def _abandon(self, host: str, min_incarnation: int) -> None:
+        abandoned = [
             name
             for (owner, incarnation), names in self._running.items()
-            if owner == host and incarnation < before
+            if owner == host and incarnation < min_incarnation
             for name in names
         ]
-        for name in dead:
+        for name in abandoned:
             record = self._records[name]
-            self._put(name, record._replace(state="unknown"))
+            self._set_record(name, record._replace(state="unknown"))
 
     def _expire(self, now: float) -> None:
         for name, record in list(self._records.items()):
-            if record.begun + LIFETIME_SECONDS >= now:
+            if record.begun + RECORD_LIFETIME_SECONDS >= now:
                 continue
-            if _bound_time(name.rsplit("\0", 1)[1], record.begun) is None:
-                self._opaque.add(_opaque_digest(name))
-            self._put(name, None)
+            if _trusted_key_time(name.rsplit("\0", 1)[1], record.begun) is None:
+                self._opaque_digests.add(_opaque_digest(name))
+            self._set_record(name, None)
 
     def snapshot(self) -> Snapshot:
-        """Returns all records."""
+        """Returns all records and digests."""
         return Snapshot(
-            records=dict(self._records), opaque=sorted(self._opaque)
+            records=dict(self._records), opaque=sorted(self._opaque_digests)
         )
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Replaces all records."""
+        """Replaces all records and digests."""
         self._records = {}
         self._running = {}
         for name, record in snapshot.records.items():
-            self._put(name, record)
-        self._opaque = set(snapshot.opaque)
+            self._set_record(name, record)
+        self._opaque_digests = set(snapshot.opaque)
--- a/packages/endivestream/src/endivestream/version/credit.py
+++ b/packages/endivestream/src/endivestream/version/credit.py
@@ -1,8 +1,9 @@
-"""Each team's credit as the log knows it: the level without what is set aside.
+"""Replicated credit level of each team, without the leader's reserve.
 
-The leader that owns the buckets spends from portions; before it may spend one,
-the level without it is committed here. A later leader goes on from this level
-and the refill since it learnt of it, which is never more than the truth.
+The leader owns the token buckets and spends only from credit that is reserved
+for it: before it spends a reserve, the level without that reserve is committed
+here. A later leader continues from the committed level plus the refill since
+it received that level, which never exceeds the actual credit.
 """
 
 from __future__ import annotations
@@ -13,11 +14,11 @@
 
 
 class Level(NamedTuple):
-    """What a team has without the leader's portion.
+    """Credit of a team without the leader's reserve.
 
     Attributes:
-        rest: When the portion was proposed.
-        most: However long ago that was.
+        rest: Level when the reserve was proposed.
+        most: Maximum level for a later leader, however much it refills.
     """
 
     rest: int
@@ -25,13 +26,13 @@
 
 
 class SetAside(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Sets portions aside.
+    """Reserves credit of teams for the leader.
 
     Attributes:
-        term: The leader's term: a portion proposed by an older leader must
-            not replace what a newer one committed.
-        levels: Team to its level without its portion, and the most that a
-            later leader may have of it; in millionths of a token.
+        term: Term of the leader: a reserve proposed by an older leader must
+            not replace one committed by a newer leader.
+        levels: Level of each team without its reserve, in millionths of a
+            token.
     """
 
     term: int
@@ -39,13 +40,13 @@
 
 
 class DoneSettingAside(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """The portions are set aside, or, from an older term, were refused."""
+    """Result of `SetAside`: rejected if its term is older than the last."""
 
     accepted: bool
 
 
 class Credit:
-    """The replicated levels."""
+    """The replicated credit levels."""
 
     def __init__(self) -> None:
         self._term = 0
@@ -53,14 +54,14 @@
 
     @property
     def levels(self) -> dict[str, Level]:
-        """Team to its level without the leader's portion."""
+        """Level of each team without the leader's reserve."""
         return self._levels
 
     def __repr__(self) -> str:
         return f"<Credit of {len(self._levels)} teams, term {self._term}>"
 
     def apply(self, command: SetAside) -> DoneSettingAside:
-        """Applies a command in log order; the same on every replica."""
+        """Applies one command in log order, deterministically."""
         if command.term < self._term:
             return DoneSettingAside(accepted=False)
         self._term = command.term
--- a/packages/endivestream/src/endivestream/version/ledger.py
+++ b/packages/endivestream/src/endivestream/version/ledger.py
@@ -1,8 +1,9 @@
-"""The memory ledger of targets: what is loaded, and what may still load.
+"""The memory ledger of targets: memory of loaded and reserved models.
 
-Every order to an engine is an intent here before it is sent, and memory is
-counted from the intent on. An intent that would not fit is refused when it is
-applied, so no proposer, old or new, can overcommit an accelerator.
+A load order is committed here as an intent before it is sent to an engine, and
+its memory is reserved from then on. An intent that does not fit is rejected
+when it is applied, so no proposer, even a deposed leader, can overcommit an
+accelerator.
 """
 
 from __future__ import annotations
@@ -13,15 +14,16 @@
 
 
 class RegisterTarget(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Records a target's new incarnation, with what it already holds.
+    """Registers a new incarnation of a target, with its loaded models.
 
     Attributes:
-        target: The target's name.
-        incarnation: Rises with each start of the target.
-        domain: Its failure domain.
+        target: Name of the target.
+        incarnation: Number that increases with each start of the target.
+        domain: Failure domain of the target.
         memory: Accelerator memory for models, in MiB.
-        checks_fencing: Whether it refuses orders with an old fencing token.
-        loaded: Model name to MiB.
+        checks_fencing: Whether the target rejects orders with an old fencing
+            token.
+        loaded: Memory of each loaded model, in MiB.
     """
 
     target: str
@@ -33,13 +35,13 @@
 
 
 class IntendLoad(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Reserves memory for an order that is about to be sent.
+    """Reserves memory for a load order that is about to be sent.
 
     Attributes:
-        target: The target's name.
-        incarnation: The incarnation that the order is for.
-        model: The model to load.
-        memory: Its size in MiB.
+        target: Name of the target.
+        incarnation: Incarnation that the order is for.
+        model: Model to load.
+        memory: Size of the model in MiB.
     """
 
     target: str
@@ -49,11 +51,11 @@
 
 
 class ConfirmLoad(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Records that the target reported the model as loaded.
+    """Records that a target reported a model as loaded.
 
     Attributes:
-        target: The target's name.
-        incarnation: The reporting incarnation.
+        target: Name of the target.
+        incarnation: Incarnation that sent the report.
         model: The loaded model.
     """
 
@@ -66,31 +68,32 @@
 
 
 class Reserved(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """The intent holds; `fence` is the order's fencing token."""
+    """The memory is reserved; `fence` is the fencing token of the order."""
 
     fence: int
 
 
 class Refused(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """The command does not hold; `reason` says why, with the arithmetic."""
+    """The command was rejected; `reason` explains why, with the figures."""
 
     reason: str
 
 
 class Noted(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """The command was applied."""
+    """The registration or confirmation was applied."""
 
 
 Result = Reserved | Refused | Noted
 
 
 class Entry(NamedTuple):
-    """Memory held on a target.
+    """Memory reserved on a target for one model.
 
     Attributes:
-        memory: In MiB.
+        memory: Size of the model in MiB.
         loaded: False from the intent until the target reports the model.
-        fence: Fencing token of the order; 0 if the target came with it.
+        fence: Fencing token of the load order; 0 if the model was already
+            loaded when the target registered.
     """
 
     memory: int
@@ -99,14 +102,14 @@
 
 
 class Target(NamedTuple):
-    """A target as the ledger knows it.
+    """Memory accounting of one target.
 
     Attributes:
-        incarnation: The newest incarnation registered.
-        domain: Its failure domain.
+        incarnation: The newest registered incarnation.
+        domain: Failure domain of the target.
         memory: Capacity in MiB.
-        checks_fencing: Whether it refuses old fencing tokens.
-        entries: Model name to what is held for it.
+        checks_fencing: Whether the target rejects old fencing tokens.
+        entries: Loaded and reserved models, by model name.
     """
 
     incarnation: int
@@ -117,19 +120,19 @@
 
     @property
     def held(self) -> int:
-        """Memory loaded or reserved, in MiB."""
+        """Memory of loaded and reserved models, in MiB."""
         return sum(entry.memory for entry in self.entries.values())
 
 
 class Ledger:
-    """The replicated ledger."""
+    """The replicated memory ledger."""
 
     def __init__(self) -> None:
         self._targets: dict[str, Target] = {}
 
     @property
     def targets(self) -> dict[str, Target]:
-        """All targets ever registered, by name."""
+        """All targets that were ever registered, by name."""
         return self._targets
 
     def __repr__(self) -> str:
@@ -137,38 +140,43 @@
         return f"<Ledger: {len(self._targets)} targets, {held} MiB held>"
 
     def apply(self, index: int, command: Command) -> Result:
-        """Applies one command in log order; the same on every replica.
+        """Applies one command in log order, deterministically.
 
         Args:
-            index: The command's place in the log. It rises across leaders, so
+            index: Log index of the command. It increases across leaders, so
                 it serves as the fencing token.
-            command: What to apply.
+            command: The command to apply.
 
         Returns:
-            What became of it.
+            The result of the command.
         """
         match command:
             case RegisterTarget():
                 return self._register(command)
             case IntendLoad():
-                return self._intend(index, command)
+                return self._reserve(index, command)
             case ConfirmLoad():
                 return self._confirm(command)
 
     def _register(self, command: RegisterTarget) -> Result:
-        known = self._targets.get(command.target)
-        if known is not None and known.incarnation >= command.incarnation:
+        registered = self._targets.get(command.target)
+        if (
+            registered is not None
+            and registered.incarnation >= command.incarnation
+        ):
             return Refused(
                 reason=f"incarnation {command.incarnation} is not newer than "
-                f"{known.incarnation}"
+                f"{registered.incarnation}"
             )
         held = sum(command.loaded.values())
         if held > command.memory:
             return Refused(
-                reason=f"it reports {held} MiB loaded of {command.memory} MiB"
+                reason=f"the target reports {held} MiB loaded, more than its "
+                f"{command.memory} MiB of memory"
             )
-        # A restart empties the accelerator: orders to the old incarnation
-        # name it and are refused by the target, so their memory is free.
+        # A restart clears the accelerator memory. Orders name the incarnation
+        # that they are for, and the target rejects those for an old one, so
+        # the memory reserved for them is free.
         self._targets[command.target] = Target(
             command.incarnation,
             command.domain,
@@ -181,10 +189,12 @@
         )
         return Noted()
 
-    def _current(self, command: IntendLoad | ConfirmLoad) -> Target | Refused:
+    def _current_target(
+        self, command: IntendLoad | ConfirmLoad
+    ) -> Target | Refused:
         target = self._targets.get(command.target)
         if target is None:
-            return Refused(reason=f"no target {command.target!r}")
+            return Refused(reason=f"unknown target {command.target!r}")
         if target.incarnation != command.incarnation:
             return Refused(
                 reason=f"incarnation {command.incarnation} is not the present "
@@ -192,8 +202,8 @@
             )
         return target
 
-    def _intend(self, index: int, command: IntendLoad) -> Result:
-        target = self._current(command)
+    def _reserve(self, index: int, command: IntendLoad) -> Result:
+        target = self._current_target(command)
         if isinstance(target, Refused):
             return target
         entry = target.entries.get(command.model)
@@ -208,12 +218,12 @@
         return Reserved(fence=index)
 
     def _confirm(self, command: ConfirmLoad) -> Result:
-        target = self._current(command)
+        target = self._current_target(command)
         if isinstance(target, Refused):
             return target
         entry = target.entries.get(command.model)
         if entry is None:
-            return Refused(reason=f"no order for {command.model!r}")
+            return Refused(reason=f"no load order for {command.model!r}")
         target.entries[command.model] = entry._replace(loaded=True)
         return Noted()
 
--- a/packages/endivestream/src/endivestream/version/state.py
+++ b/packages/endivestream/src/endivestream/version/state.py
@@ -1,8 +1,8 @@
 """The replicated state machine: configuration, calls, memory, credit.
 
-Commands come from the log in its order, and applying them needs nothing else:
-no clock, no random number, no file. Each part checks its own invariants when
-it applies a command, so no proposer can break them.
+Commands are applied in log order and deterministically: without clock, random
+numbers or files. Each component checks its invariants when it applies a
+command, so no proposer can violate them.
 """
 
 from __future__ import annotations
@@ -69,26 +69,26 @@
 
 
 def encode(command: Command) -> bytes:
-    """Returns a command's bytes for the log."""
+    """Encodes a command for the log."""
     return _encoder.encode(command)
 
 
 def decode(data: bytes) -> Command:
-    """Reads a command from the log; raises msgspec.DecodeError."""
+    """Decodes a command from the log; raises msgspec.DecodeError."""
     return _command_decoder.decode(data)
 
 
 class State:
-    """The whole replicated state.
+    """The complete replicated state.
 
     Attributes:
-        configuration: Rules and keys.
+        configuration: Rules and API keys.
         calls: Records of non-idempotent calls.
-        ledger: Memory of targets.
-        credit: Teams' credit without what the leader may spend.
-        document: The configuration that is applied as a whole.
-        departures: Targets that have left.
-        seat: Which host places models.
+        ledger: Loaded and reserved memory of targets.
+        credit: Credit of the teams, without what is reserved for the leader.
+        document: The configuration document, which is replaced as a unit.
+        departures: Targets that have deregistered.
+        seat: Planner lease: the host that places models.
     """
 
     def __init__(self) -> None:
@@ -135,7 +135,7 @@
                 return self.seat.apply(command)
 
     def snapshot(self) -> bytes:
-        """Returns the whole state as bytes."""
+        """Encodes the complete state."""
         return _encoder.encode(
             _Snapshot(
                 configuration=self.configuration.snapshot(),
@@ -149,7 +149,7 @@
         )
 
     def restore(self, data: bytes) -> None:
-        """Replaces the whole state; raises msgspec.DecodeError."""
+        """Replaces the complete state; raises msgspec.DecodeError."""
         snapshot = _snapshot_decoder.decode(data)
         self.configuration.restore(snapshot.configuration)
         self.calls.restore(snapshot.calls)
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -5,7 +5,7 @@
 import hypothesis
 from hypothesis import strategies as st
 
-DAY = calls.LIFETIME_SECONDS
+DAY = calls.RECORD_LIFETIME_SECONDS
 T0 = 1_790_000_000.0
 
 
@@ -40,33 +40,37 @@
     def setUp(self):
         self.calls = calls.Calls()
 
-    def test_abandoned_call_is_unknown_until_its_answer_comes(self):
-        """A resend is told "unknown", and later gets the answer.
+    def test_abandoned_call_is_unknown_until_its_response_arrives(self):
+        """A late response of an abandoned call would be lost.
 
-        The holder's host is thought dead and its calls are abandoned; it was
-        only cut off, and its answer arrives after all.
+        The holder's host is considered failed and its calls are abandoned.
+        It was only unreachable, and its response arrives later.
         """
         self.calls.apply(_begin("k"))
         self.calls.apply(calls.AbandonCalls(host="h", before=2))
-        known = self.calls.apply(_begin("k", holder="g/1/b"))
-        self.assertEqual(known.record.state, "unknown")
+        repeated = self.calls.apply(_begin("k", holder="g/1/b"))
+        self.assertEqual(repeated.record.state, "unknown")
         self.calls.apply(_end("k", "done", body=b"yes"))
-        known = self.calls.apply(_begin("k", holder="g/1/b"))
-        self.assertEqual(known.record.body, b"yes")
+        repeated = self.calls.apply(_begin("k", holder="g/1/b"))
+        self.assertEqual(repeated.record.body, b"yes")
 
-    def test_abandoned_call_cannot_be_freed(self):
-        """A "not run" after "unknown" would let a resend run it again.
+    def test_abandoned_call_is_not_released_by_not_run(self):
+        """A `not_run` after `unknown` would let a retry run the call again.
 
-        A holder that comes back late may prove that it sent nothing, but the
-        resend was told "unknown" meanwhile; that answer stays.
+        A holder that reconnects late may be certain that it sent nothing, but
+        a retry has already received `unknown`; that result is final.
         """
         self.calls.apply(_begin("k"))
         self.calls.apply(calls.AbandonCalls(host="h", before=2))
         self.calls.apply(_end("k", "not_run"))
-        known = self.calls.apply(_begin("k", holder="g/1/b"))
-        self.assertEqual(known.record.state, "unknown")
+        repeated = self.calls.apply(_begin("k", holder="g/1/b"))
+        self.assertEqual(repeated.record.state, "unknown")
 
-    def test_index_of_running_calls_follows_the_records(self):
+    def test_index_of_running_calls_matches_the_records(self):
+        """Calls would not be abandoned, or would be listed as running for ever.
+
+        The index of running calls must follow begin, restore, abandon and end.
+        """
         for number, host in enumerate("ghg"):
             self.calls.apply(_begin(f"k{number}", holder=f"{host}/1/{number}"))
         self.assertEqual(set(self.calls.running_hosts), {("g", 1), ("h", 1)})
@@ -77,13 +81,14 @@
         other.apply(_end("k1", "done", holder="h/1/1"))
         self.assertEqual(list(other.running_hosts), [])
 
-    def test_time_of_reads_the_keys_that_carry_one(self):
-        self.assertEqual(calls.time_of("1790000000-abc"), T0)
+    def test_key_time_parses_keys_that_carry_a_time(self):
+        """A timed key would be treated as opaque, or an opaque one as timed."""
+        self.assertEqual(calls.key_time("1790000000-abc"), T0)
         milliseconds = int(T0 * 1000)
         raw = (milliseconds << 80) | (7 << 76) | (2 << 62)
-        self.assertEqual(calls.time_of(str(uuid.UUID(int=raw))), T0)
-        self.assertIsNone(calls.time_of("order-17"))
-        self.assertIsNone(calls.time_of(str(uuid.uuid4())))
+        self.assertEqual(calls.key_time(str(uuid.UUID(int=raw))), T0)
+        self.assertIsNone(calls.key_time("order-17"))
+        self.assertIsNone(calls.key_time(str(uuid.uuid4())))
 
     @hypothesis.given(
         made=st.integers(-48, 48).map(_hours),
@@ -112,11 +117,15 @@
         again = state.apply(_begin(key, holder="g/1/b", at=T0 + resend))
         self.assertNotIsInstance(again, calls.Begun)
 
-    def test_too_many_opaque_keys_are_refused_as_not_run(self):
+    def test_opaque_keys_above_the_limit_are_rejected(self):
+        """The replicated state would grow without bound.
+
+        Digests of opaque keys are never removed, so their number is limited.
+        """
         self.calls.apply(_begin("seen"))
         self.calls.apply(_end("seen", "done"))
         self.calls.apply(calls.ExpireCalls(now=T0 + 2 * DAY))
-        most, calls.OPAQUE_KEYS_KEPT = calls.OPAQUE_KEYS_KEPT, 1
-        self.addCleanup(setattr, calls, "OPAQUE_KEYS_KEPT", most)
-        answer = self.calls.apply(_begin("new", at=T0 + 2 * DAY))
-        self.assertEqual(answer.reason, "too_many_opaque_keys")
+        original, calls.MAX_OPAQUE_KEYS = calls.MAX_OPAQUE_KEYS, 1
+        self.addCleanup(setattr, calls, "MAX_OPAQUE_KEYS", original)
+        rejected = self.calls.apply(_begin("new", at=T0 + 2 * DAY))
+        self.assertEqual(rejected.reason, "too_many_opaque_keys")
