--- a/packages/endivestream/src/endivestream/version/consensus.py
+++ b/packages/endivestream/src/endivestream/version/consensus.py
@@ -79,7 +79,7 @@
         for entry in entries:
             self._record_members(entry)
         # Index of the last durable entry; entries read from disk are durable.
-        self._durable_index = self._log.last
+        self._durable_index = self._log.last_index
         # Index of the last entry that is known to match the leader's log.
         self._verified_index = 0
         self._pending_writes: collections.deque[tuple[int, int]] = (
@@ -115,7 +115,7 @@
     @property
     def last_index(self) -> int:
         """Index of the last entry."""
-        return self._log.last
+        return self._log.last_index
 
     @property
     def first_own(self) -> int:
@@ -180,7 +180,7 @@
     def __repr__(self) -> str:
         return (
             f"<Replica {self.identity[:8]} {self.role} term {self.term} "
-            f"commit {self.commit}/{self._log.last}>"
+            f"commit {self.commit}/{self._log.last_index}>"
         )
 
     def step(self, event: protocol.Event, now: float) -> list[protocol.Effect]:
@@ -282,7 +282,7 @@
                 other,
                 protocol.PreVote(
                     term=self.term + 1,
-                    last_index=self._log.last,
+                    last_index=self._log.last_index,
                     last_term=self._log.last_term,
                 ),
             )
@@ -300,7 +300,7 @@
                 other,
                 protocol.RequestVote(
                     term=self.term,
-                    last_index=self._log.last,
+                    last_index=self._log.last_index,
                     last_term=self._log.last_term,
                     transfer=transfer,
                 ),
@@ -332,12 +332,12 @@
         self.leader = self.identity
         self._peers = {}
         self._transferring = False
-        self._first_index_of_term = self._log.last + 1
+        self._first_index_of_term = self._log.last_index + 1
         self._append_payloads([b""])
         self._broadcast()
 
     def _is_up_to_date(self, last_term: int, last_index: int) -> bool:
-        own_position = (self._log.last_term, self._log.last)
+        own_position = (self._log.last_term, self._log.last_index)
         return (last_term, last_index) >= own_position
 
     def _supports_leader_lease(self) -> bool:
@@ -461,10 +461,10 @@
         self._leader_sent_at = message.sent
         prev = message.prev_index
         entries = message.entries
-        if prev < self._log.start:
+        if prev < self._log.snapshot_index:
             # These entries are in the snapshot and therefore committed.
-            entries = entries[self._log.start - prev :]
-            prev = min(self._log.start, prev + len(message.entries))
+            entries = entries[self._log.snapshot_index - prev :]
+            prev = min(self._log.snapshot_index, prev + len(message.entries))
         elif self._log.term_at(prev) != message.prev_term:
             hint = self._match_hint(prev)
             self._reply(sender, message.sent, rejected=True, matched=hint)
@@ -476,8 +476,8 @@
 
     def _match_hint(self, prev: int) -> int:
         """Returns the index that the leader tries next after a mismatch."""
-        if prev > self._log.last:
-            return self._log.last
+        if prev > self._log.last_index:
+            return self._log.last_index
         # Skips the complete conflicting term instead of one entry per reply.
         term = self._log.term_at(prev)
         hint = prev - 1
@@ -550,7 +550,7 @@
             self._member_changes = [
                 change
                 for change in self._member_changes
-                if snapshot.index < change[0] <= self._log.last
+                if snapshot.index < change[0] <= self._log.last_index
             ]
             self._durable_index = max(self._durable_index, snapshot.index)
             self.commit = snapshot.index
@@ -565,7 +565,7 @@
             self._broadcast()
 
     def _append_payloads(self, payloads: list[bytes]) -> None:
-        first = self._log.last + 1
+        first = self._log.last_index + 1
         self._write(
             [
                 storage_lib.Entry(self.term, first + offset, payload)
@@ -576,7 +576,7 @@
     def _peer(self, identity: str) -> _Peer:
         peer = self._peers.get(identity)
         if peer is None:
-            peer = _Peer(next_index=self._log.last + 1, now=self._now)
+            peer = _Peer(next_index=self._log.last_index + 1, now=self._now)
             self._peers[identity] = peer
         return peer
 
@@ -589,7 +589,7 @@
     def _send_entries(self, to: str) -> None:
         peer = self._peer(to)
         prev = peer.next_index - 1
-        if prev < self._log.start:
+        if prev < self._log.snapshot_index:
             # Not resent with every heartbeat: delivery takes longer than that.
             if self._now - peer.snapshot_sent_at >= 2 * self._timing.election:
                 peer.snapshot_sent_at = self._now
@@ -632,7 +632,7 @@
         peer.matched = max(peer.matched, message.matched)
         peer.next_index = max(peer.next_index, peer.matched + 1)
         self._commit_by_majority()
-        if peer.next_index <= self._log.last:
+        if peer.next_index <= self._log.last_index:
             self._send_entries(sender)
 
     def _commit_by_majority(self) -> None:
@@ -687,7 +687,7 @@
         self._broadcast()
 
     def _compact(self, index: int) -> None:
-        if self._log.start < index <= self.commit:
+        if self._log.snapshot_index < index <= self.commit:
             self._base_members = self.members_at(index)
             self._member_changes = [
                 change for change in self._member_changes if change[0] > index
@@ -701,7 +701,7 @@
         if not others:
             return
         matched, successor = max(others)
-        if matched < self._log.last:
+        if matched < self._log.last_index:
             self._send_entries(successor)
             return  # The caller repeats the `Transfer` event until it is done.
         # The lease is given up here, before the successor can be elected.
--- a/packages/endivestream/src/endivestream/version/entry_log.py
+++ b/packages/endivestream/src/endivestream/version/entry_log.py
@@ -15,36 +15,38 @@
     """Log entries, with index and term of the snapshot that precedes them.
 
     Attributes:
-        start: Index of the last entry that the snapshot contains.
+        snapshot_index: Index of the last entry that the snapshot contains.
     """
 
     def __init__(
         self, *, snapshot: tuple[int, int], entries: Sequence[storage_lib.Entry]
     ) -> None:
-        self.start, self._start_term = snapshot
+        self.snapshot_index, self._snapshot_term = snapshot
         self._entries = list(entries)
 
     @property
-    def last(self) -> int:
+    def last_index(self) -> int:
         """Index of the last entry."""
-        return self.start + len(self._entries)
+        return self.snapshot_index + len(self._entries)
 
     @property
     def last_term(self) -> int:
         """Term of the last entry."""
-        return self.term_at(self.last)
+        return self.term_at(self.last_index)
 
     def term_at(self, index: int) -> int:
         """Returns the term of an entry; -1 if it is not in memory."""
-        if index == self.start:
-            return self._start_term
-        if self.start < index <= self.last:
-            return self._entries[index - self.start - 1].term
+        if index == self.snapshot_index:
+            return self._snapshot_term
+        if self.snapshot_index < index <= self.last_index:
+            return self._entries[index - self.snapshot_index - 1].term
         return -1
 
     def between(self, after: int, last: int) -> list[storage_lib.Entry]:
         """Returns the entries after `after`, up to and including `last`."""
-        return self._entries[after - self.start : last - self.start]
+        return self._entries[
+            after - self.snapshot_index : last - self.snapshot_index
+        ]
 
     def batch(self, after: int) -> list[storage_lib.Entry]:
         """Returns entries after `after` for one message.
@@ -52,7 +54,7 @@
         The batch ends with the entry that exceeds the target size.
         """
         selected, size = [], 0
-        for entry in self._entries[after - self.start :]:
+        for entry in self._entries[after - self.snapshot_index :]:
             selected.append(entry)
             size += len(entry.payload)
             if size > _BATCH_TARGET_BYTES:
@@ -65,15 +67,15 @@
 
     def truncate(self, index: int) -> None:
         """Removes the entries from `index` on."""
-        del self._entries[index - self.start - 1 :]
+        del self._entries[index - self.snapshot_index - 1 :]
 
     def compact(self, index: int) -> None:
         """Removes the entries up to `index`, which a snapshot contains."""
         term = self.term_at(index)
-        self._entries = self.between(index, self.last)
-        self.start, self._start_term = index, term
+        self._entries = self.between(index, self.last_index)
+        self.snapshot_index, self._snapshot_term = index, term
 
     def reset(self, index: int, term: int) -> None:
         """Replaces all entries by a snapshot of a divergent history."""
-        self.start, self._start_term = index, term
+        self.snapshot_index, self._snapshot_term = index, term
         self._entries = []
--- a/packages/endivestream/src/endivestream/version/members.py
+++ b/packages/endivestream/src/endivestream/version/members.py
@@ -8,7 +8,7 @@
 
 # First byte of the payload of a membership entry. Commands are encoded as
 # maps, which never start with this byte; a leader's first entry is empty.
-MARK = b"M"
+MEMBERSHIP_PREFIX = b"M"
 
 
 class Member(NamedTuple):
@@ -83,11 +83,11 @@
 
 def encode(members: Members) -> bytes:
     """Returns the payload of a log entry that sets the members."""
-    return MARK + msgspec.msgpack.encode(members)
+    return MEMBERSHIP_PREFIX + msgspec.msgpack.encode(members)
 
 
 def decode(payload: bytes) -> Members | None:
     """Decodes the payload of a membership entry; None for other entries."""
-    if payload[:1] != MARK:
+    if payload[:1] != MEMBERSHIP_PREFIX:
         return None
     return _decoder.decode(payload[1:])
--- a/packages/endivestream/src/endivestream/version/replicate.py
+++ b/packages/endivestream/src/endivestream/version/replicate.py
@@ -226,7 +226,7 @@
             state.restore(snapshot.data)
         index, term = snapshot.index, snapshot.term
         for entry in self._storage.entries:
-            if entry.payload[:1] not in (b"", members_lib.MARK):
+            if entry.payload[:1] not in (b"", members_lib.MEMBERSHIP_PREFIX):
                 state.apply(entry.index, state_lib.decode(entry.payload))
             index, term = entry.index, entry.term
         self._storage.save_snapshot(
@@ -324,7 +324,7 @@
         try:
             for effect in self.replica.step(event, clock.now()):
                 self._execute(effect)
-            if self._storage.size > SNAPSHOT_AFTER_BYTES:
+            if self._storage.log_size > SNAPSHOT_AFTER_BYTES:
                 self._compact()
         except OSError as error:
             # After a failed write or sync the kernel may drop the dirty pages
@@ -372,7 +372,7 @@
         for entry in entries:
             result = None
             self._applied_index = entry.index
-            if entry.payload[:1] not in (b"", members_lib.MARK):
+            if entry.payload[:1] not in (b"", members_lib.MEMBERSHIP_PREFIX):
                 command = state_lib.decode(entry.payload)
                 result = self.state.apply(entry.index, command)
                 self._on_applied(command, result)
--- a/packages/endivestream/src/endivestream/version/storage.py
+++ b/packages/endivestream/src/endivestream/version/storage.py
@@ -128,7 +128,7 @@
         return list(self._entries)
 
     @property
-    def size(self) -> int:
+    def log_size(self) -> int:
         """Size of the log file in bytes."""
         return self._end_offset
 
