--- a/packages/endivestream/src/endivestream/connection/registry.py
+++ b/packages/endivestream/src/endivestream/connection/registry.py
@@ -1,8 +1,8 @@
-"""The table of targets, from what they say of themselves. Pure.
+"""Table of targets, built from their own registrations. Pure.
 
-Registrations come late, twice, out of order and by way of different hosts.
-They are ordered by the target's own words: the time of its start, then a
-number that rises with each report. Arrival decides nothing.
+Registrations may arrive late, twice, out of order and through different hosts.
+They are ordered by values that the target sets itself: the time of its start,
+then a number that rises with each report. The order of arrival has no effect.
 """
 
 from __future__ import annotations
@@ -12,23 +12,23 @@
 
 import msgspec
 
-# How long a target that said good-bye is remembered. A report that was sent
-# before may arrive seconds later and would bring the target back (symptom:
-# requests go to an address that another service has taken).
+# How long the departure of a target is remembered. A report that was sent
+# before may arrive seconds later and would add the target again (symptom:
+# requests go to an address that another service has taken over).
 _REMEMBER_SECONDS = 60.0
-# A new start counts its reports from the beginning. Where the start that left
-# is not known, a report up to this number is taken for that of a newer one;
-# a process that has worked before it left has sent more.
+# Each process numbers its reports from the beginning. If the start time of the
+# departed process is unknown, a report up to this number is attributed to a
+# newer process; a process that was in use before it departed has sent more.
 _FIRST_REPORTS = 3
 
 
 class Loaded(msgspec.Struct, frozen=True, array_like=True):
-    """A model that a target holds.
+    """A model that is loaded on a target.
 
     Attributes:
-        model: The model's name.
+        model: Name of the model.
         version: Version of its weights.
-        adapters: Names of its adapters that are held too.
+        adapters: Names of its loaded adapters.
     """
 
     model: str
@@ -37,22 +37,22 @@
 
 
 class Registration(msgspec.Struct, frozen=True, kw_only=True):
-    """What a target says of itself.
+    """State of a target as reported by the target itself.
 
     Attributes:
-        name: The target's id.
-        service: The service that it belongs to.
-        address: `IP:PORT` where it takes requests.
-        domain: Its failure domain.
-        born: When it started, in milliseconds of the time of day.
+        name: Id of the target.
+        service: Name of the service that it belongs to.
+        address: `IP:PORT` where it accepts requests.
+        domain: Failure domain of the target.
+        born: Start time of its process, in milliseconds of the wall clock.
         number: Rises with each report since the start.
-        draining: Whether it is about to leave.
-        slots: Requests that it runs at once.
+        draining: Whether it is about to stop.
+        slots: Maximum number of concurrent requests.
         warm_in: Seconds until it works at full speed.
-        leaves_in: Seconds until it is taken away; None if that is not known.
-        loaded: Models that it holds.
-        in_memory: Models whose weights are in its host memory.
-        on_disk: Models whose weights are on its disk.
+        leaves_in: Seconds until it is shut down; None if unknown.
+        loaded: Models that are loaded.
+        in_memory: Names of the models whose weights are in its host memory.
+        on_disk: Names of the models whose weights are on its disk.
     """
 
     name: str
@@ -71,16 +71,16 @@
 
     @property
     def order(self) -> tuple[int, int]:
-        """What is said later compares greater."""
+        """Sort key; greater for a registration that the target sent later."""
         return (self.born, self.number)
 
 
 class Session(NamedTuple):
-    """A target as the table has it.
+    """A target's entry in the table.
 
     Attributes:
-        said: Its newest registration.
-        heard: When that came.
+        said: Newest registration of the target.
+        heard: Time at which that registration was received.
     """
 
     said: Registration
@@ -88,25 +88,26 @@
 
 
 class _Gone(NamedTuple):
-    """A target that left.
+    """Record of a target that was removed from the table.
 
     Attributes:
-        born: The start that left; None if the table did not have it.
-        since: When it left.
+        born: Start time of the departed process; None if the table did not
+            contain it.
+        since: Time of the removal.
     """
 
     born: int | None
     since: float
 
     def covers(self, said: Registration) -> bool:
-        """Whether a report is of the start that left."""
+        """Whether a registration is of the departed process."""
         if self.born is None:
             return said.number > _FIRST_REPORTS
         return said.born <= self.born
 
 
 class Registry:
-    """All targets that may exist. Times are seconds of one clock."""
+    """Table of targets by name. Times are seconds of one clock."""
 
     def __init__(self) -> None:
         self._sessions: dict[str, Session] = {}
@@ -117,19 +118,24 @@
 
     @property
     def sessions(self) -> dict[str, Session]:
-        """All targets by name."""
+        """All entries by target name."""
         return dict(self._sessions)
 
     def find(self, name: str) -> Session | None:
-        """Returns a target by name, or None."""
+        """Returns the entry of a target, or None."""
         return self._sessions.get(name)
 
     def note(self, said: Registration, now: float) -> list[str]:
-        """Takes a registration in.
+        """Adds a registration to the table, unless it is outdated.
+
+        Args:
+            said: The registration.
+            now: The time.
 
         Returns:
-            Names of the targets that are different now, the said one and
-            those whose address it has taken over; empty if it is old.
+            Names of the changed targets: that of the registration and those
+            whose address it has taken over. Empty if the registration is
+            outdated.
         """
         gone = self._gone.get(said.name)
         if gone is not None and gone.covers(said):
@@ -144,8 +150,8 @@
             and session.said.name != said.name
         ]
         if any(rival.born > said.born for rival in rivals):
-            # A report that was held up by a cut, of a process that has ended;
-            # its address has a new owner.
+            # A report of a process that has ended, delayed by a network
+            # partition; its address belongs to a newer process.
             return []
         for rival in rivals:
             self._forget(rival.name, now)
@@ -153,15 +159,18 @@
         return [said.name, *(rival.name for rival in rivals)]
 
     def leave(self, name: str, now: float, born: int | None = None) -> bool:
-        """Removes a target that said good-bye, also one not heard of yet.
+        """Removes a target that deregistered, and records its departure.
+
+        The departure is recorded also if the target is not in the table yet. A
+        target that was started after `born` is kept.
 
         Args:
-            name: The target's id.
+            name: Id of the target.
             now: The time.
-            born: The start that left, if it is known from elsewhere.
+            born: Start time of the departed process, if known from elsewhere.
 
         Returns:
-            Whether it was in the table.
+            Whether the target was in the table and was removed.
         """
         session = self._sessions.get(name)
         if (
@@ -173,7 +182,7 @@
         if session is not None:
             self._forget(name, now)
             return True
-        # Entry hosts may still have it from the leader before.
+        # Entry hosts may still list the target from the previous leader.
         known = self._gone.get(name)
         if born is None and known is not None:
             born = known.born
@@ -182,16 +191,21 @@
 
     @property
     def departed(self) -> tuple[str, ...]:
-        """Names of targets that have left or were replaced lately."""
+        """Names of the targets that recently departed or were replaced."""
         return tuple(self._gone.keys() - self._sessions.keys())
 
     def born(self, name: str) -> int | None:
-        """Returns when a target in the table was started, or None."""
+        """Returns the start time of a target in the table, or None."""
         session = self._sessions.get(name)
         return session.said.born if session else None
 
     def expire(self, now: float, *, silence: float) -> list[str]:
-        """Removes and returns targets that were silent for too long."""
+        """Removes targets without a recent report and returns their names.
+
+        Args:
+            now: The time.
+            silence: Seconds without a report after which a target is removed.
+        """
         silent = [
             name
             for name, session in self._sessions.items()
@@ -205,7 +219,7 @@
         return silent
 
     def adopt(self, said: Iterable[Registration], now: float) -> None:
-        """Takes over what another host knew, where nothing newer is known."""
+        """Adds registrations from another host, unless they are outdated."""
         for each in said:
             self.note(each, now)
 
--- a/packages/endivestream/src/endivestream/messages.py
+++ b/packages/endivestream/src/endivestream/messages.py
@@ -1,7 +1,7 @@
-"""Typed messages between hosts, and their bytes.
+"""Typed messages between hosts, and their encoding.
 
-Every frame on a link is one `Envelope`. A request carries an id above 0 and
-its answer the same id; a message pushed without being asked for carries 0.
+Every frame on a link is one `Envelope`. A request carries an id above 0 and its
+answer the same id; a pushed message carries 0.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 
 
 class HostInfo(NamedTuple):
-    """A host of the system, as others see it.
+    """A host as listed in the leader's host table.
 
     Attributes:
-        name: Unique among hosts.
-        incarnation: Rises with each start of the process.
-        domain: Its failure domain.
-        url: Where callers reach it, such as `http://10.0.0.1:8080`.
-        inner_url: Where operators and targets reach it.
-        draining: Whether it is about to stop.
+        name: Name, unique among hosts.
+        incarnation: Number of this process start; rises with each start.
+        domain: Failure domain of the host.
+        url: URL for callers, such as `http://10.0.0.1:8080`.
+        inner_url: URL for operators and targets.
+        draining: Whether the host is about to stop.
     """
 
     name: str
@@ -42,10 +42,10 @@
     """Renews a gateway's configuration lease.
 
     Attributes:
-        host: The asking host.
-        have: The configuration version it has in force.
-        hosts_seen: The version of the host table it has; 0 for none.
-        running: Requests of callers that run on it.
+        host: The requesting host.
+        have: Version of the configuration in force on it.
+        hosts_seen: Version of its host table; 0 for none.
+        running: Number of callers' requests running on it.
     """
 
     host: HostInfo
@@ -55,16 +55,16 @@
 
 
 class Lease(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Answers a `Watch`, or pushes a change of the configuration.
+    """Answer to `Watch`, or push of a changed configuration.
 
     Attributes:
-        update: What the gateway lacks, or None.
-        version: The configuration's version.
-        seconds: How long the gateway may serve, counted from the moment it
-            sent its `Watch`; 0 in a push, which renews nothing.
-        hosts: All live hosts, or None when the gateway has them already:
-            at 390 hosts the table is 29 KB, and renewals come twice a second.
-        hosts_version: The host table's version.
+        update: Configuration update that the gateway lacks, or None.
+        version: Version of the configuration.
+        seconds: Duration of the lease, from when the gateway sent its `Watch`;
+            0 in a push, which does not renew the lease.
+        hosts: All live hosts, or None if the gateway has them already: at 390
+            hosts the table is 29 KB, and leases are renewed twice a second.
+        hosts_version: Version of the host table.
     """
 
     update: configuration.Update | None
@@ -75,31 +75,39 @@
 
 
 class Propose(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Asks for a command to be committed."""
+    """Requests that a command be committed to the log.
+
+    Attributes:
+        command: The command.
+    """
 
     command: state.Command
 
 
 class Committed(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Answers a `Propose`."""
+    """Answer to `Propose`.
+
+    Attributes:
+        result: Result of applying the command.
+    """
 
     result: state.Result
 
 
 class Lost(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Answers a `Propose` whose command may or may not last.
+    """Answer to `Propose` when the command may or may not be committed.
 
-    Sending the same command again is safe, and tells.
+    Sending the same command again is safe and gives its result.
     """
 
 
 class NotLeader(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Answers anything that only the leader may answer.
+    """Answer of a replica that does not lead to a request for the leader.
 
     Attributes:
-        address: Where the leader listens, or empty if that is not known.
-        members: How many replicas the answering host knows; 0 if it belongs
-            to no system yet.
+        address: Address of the leader, or empty if it is unknown.
+        members: Number of replicas in the answering host's member list; 0 if it
+            belongs to no system yet.
     """
 
     address: str
@@ -107,14 +115,14 @@
 
 
 class Agreement(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Passes a message between replicas of the log. Not answered.
+    """Carries a consensus message between replicas; not answered.
 
     Attributes:
-        to: The receiver's identity: a new disk on an old address must not
-            take in what was meant for the lost one.
-        sender: The sender's identity.
-        address: Where the sender listens.
-        body: The message.
+        to: Identity of the receiver. A replica with a new disk on an old
+            address must not process messages for the replica that it replaced.
+        sender: Identity of the sender.
+        address: Address where the sender listens.
+        body: The consensus message.
     """
 
     to: str
@@ -124,31 +132,35 @@
 
 
 class Join(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """A replica that is not among the members asks to learn."""
+    """Requests that a replica outside the member list be added as a learner.
+
+    Attributes:
+        member: The replica.
+    """
 
     member: members.Member
 
 
 class RemoveVoter(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Operators take a lost replica out at once.
+    """Operator's request to remove a failed voter immediately.
 
     Attributes:
-        name: The host's name, or the beginning of the identity.
+        name: Name of its host, or a prefix of its identity.
     """
 
     name: str
 
 
 class Charge(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Asks for a team's credit.
+    """Requests credit of a team.
 
     Attributes:
-        team: The team.
-        request: Unique per attempt.
-        tokens: Prompt plus largest generated count.
-        patience: Seconds for which the credit is of use.
-        firm: The caller said so itself; a leader that has just taken over
-            does not wait longer.
+        team: Name of the team.
+        request: Id of the attempt, unique per attempt.
+        tokens: Tokens of the prompt plus the maximum number to generate.
+        patience: Seconds that the request can wait for the credit.
+        firm: Whether the caller set `patience` itself; a new leader does not
+            extend it.
     """
 
     team: str
@@ -159,7 +171,7 @@
 
 
 class Charged(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """The credit was taken.
+    """Answer to `Charge`: the credit was taken.
 
     Attributes:
         waited: Seconds spent waiting for the refill.
@@ -169,15 +181,15 @@
 
 
 class Ending(msgspec.Struct, frozen=True, kw_only=True):
-    """An attempt is over: its unused credit and its place go back.
+    """Completion of an attempt; returns its unused credit and its ticket.
 
     Attributes:
-        request: The attempt that charged or asked for a ticket.
-        team: The charged team; empty when nothing was charged.
-        used: Tokens really used.
-        failed: Whether the target broke the attempt.
-        answered: Whether the target answered it; neither, if it never ran or
-            its caller left.
+        request: Id of the attempt that was charged or got a ticket.
+        team: Name of the charged team; empty if nothing was charged.
+        used: Number of tokens used.
+        failed: Whether the attempt failed on the target.
+        answered: Whether the target answered the attempt. Neither `failed` nor
+            `answered` is set if it never ran or its caller disconnected.
     """
 
     request: str
@@ -188,27 +200,34 @@
 
 
 class Endings(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Many endings in one message. Idempotent; resent until answered."""
+    """Completions of attempts in one message.
+
+    Idempotent; resent until answered.
+
+    Attributes:
+        endings: The completions.
+    """
 
     endings: list[Ending]
 
 
 class Noted(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Answers `Endings`."""
+    """Answer to `Endings` and `Join`."""
 
 
 class AskTicket(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Asks for a place on a target.
+    """Requests a place on a target.
 
     Attributes:
-        request: Unique per attempt.
-        team: Whose turn is used.
-        needs: A model's name or `service:NAME`.
+        request: Id of the attempt, unique per attempt.
+        team: Name of the team whose share of the queue is used.
+        needs: Name of a model, or `service:NAME`.
         tokens: Expected work in tokens.
-        patience: Seconds for which the place is of use.
-        avoid: Targets not to give.
-        host: The asking host, so that its tickets go when it is gone.
-        blocks: Names of the prompt's blocks; see `request.prefixes`.
+        patience: Seconds that the request can wait for the place.
+        avoid: Names of targets not to use.
+        host: Name of the requesting host; its tickets are released when it is
+            removed.
+        blocks: Chained hashes of the prompt's blocks; see `request.prefixes`.
     """
 
     request: str
@@ -222,14 +241,14 @@
 
 
 class Ticket(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """A place on a target.
+    """Answer to `AskTicket`: a place on a target.
 
     Attributes:
-        target: The target's name.
-        url: Where it takes requests.
-        resumes: Whether it continues streams begun elsewhere.
-        waited: Seconds in the queue.
-        reason: Why this target.
+        target: Name of the target.
+        url: URL for requests to the target.
+        resumes: Whether the target continues streams started on another target.
+        waited: Seconds spent in the queue.
+        reason: Why this target was chosen.
     """
 
     target: str
@@ -240,12 +259,12 @@
 
 
 class Refused(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Answers a `Charge` or `AskTicket` that cannot be met.
+    """Answer to a `Charge` or `AskTicket` that cannot be granted.
 
     Attributes:
-        reason: A fixed word.
-        detail: A sentence for the caller.
-        retry_after: Seconds after which to come back; below 0 for never.
+        reason: Reason code.
+        detail: Sentence for the caller.
+        retry_after: Seconds after which to retry; below 0 for never.
     """
 
     reason: str
@@ -254,20 +273,20 @@
 
 
 class TargetInfo(msgspec.Struct, frozen=True, kw_only=True):
-    """What a target announces; see docs/TARGETS.md.
+    """Announcement of a target; see docs/TARGETS.md.
 
     Attributes:
-        name: Unique among targets.
-        incarnation: Rises with each start of the target.
+        name: Name, unique among targets.
+        incarnation: Number of this process start; rises with each start.
         kind: `engine` or `service`.
-        domain: Its failure domain.
-        url: Where it takes requests.
+        domain: Failure domain of the target.
+        url: URL for requests to the target.
         memory: Accelerator memory for models in MiB; 0 for a service.
-        slots: Requests it takes at once.
-        services: Services it runs; empty for an engine.
-        checks_fencing: Whether it refuses old fencing tokens.
-        resumes: Whether it continues streams begun elsewhere.
-        loaded: Models loaded at the start, name to MiB.
+        slots: Maximum number of concurrent requests.
+        services: Names of the services that it runs; empty for an engine.
+        checks_fencing: Whether the target refuses old fencing tokens.
+        resumes: Whether the target continues streams started on another target.
+        loaded: Models loaded at the start, from name to size in MiB.
     """
 
     name: str
@@ -284,17 +303,18 @@
 
 
 class TargetReport(msgspec.Struct, frozen=True, kw_only=True):
-    """What a target reports each second; see docs/TARGETS.md.
+    """Report that a target sends each second; see docs/TARGETS.md.
 
     Attributes:
-        name: The target's name.
-        incarnation: Its incarnation.
-        sequence: Rises with each report; older ones are dropped.
-        loaded: Models loaded now.
-        running: Requests that run.
-        waiting: Requests that wait inside the target.
-        queued_tokens: Tokens still to be generated.
-        draining: Whether it is about to leave.
+        name: Name of the target.
+        incarnation: Incarnation of the target.
+        sequence: Rises with each report; reports with a lower number than the
+            newest are dropped.
+        loaded: Names of the models loaded now.
+        running: Number of requests that run.
+        waiting: Number of requests in the target's own queue.
+        queued_tokens: Number of tokens still to be generated.
+        draining: Whether the target is about to stop.
     """
 
     name: str
@@ -308,22 +328,30 @@
 
 
 class Announce(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Passes a target's announcement on."""
+    """Forwards a target's announcement to the leader.
+
+    Attributes:
+        info: The announcement.
+    """
 
     info: TargetInfo
 
 
 class Report(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Passes targets' reports on, many in one message."""
+    """Forwards reports of targets to the leader.
+
+    Attributes:
+        reports: The reports, many in one message.
+    """
 
     reports: list[TargetReport]
 
 
 class Known(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Answers `Announce` and `Report`.
+    """Answer to `Announce` and `Report`.
 
     Attributes:
-        unknown: Targets that must announce themselves again.
+        unknown: Names of targets that must announce themselves again.
         reason: Why an announcement was refused, or empty.
     """
 
@@ -332,12 +360,12 @@
 
 
 class AskStatus(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Asks for one view that operators read.
+    """Requests one of the views for operators.
 
     Attributes:
         view: `status`, `rules`, `history`, `keys`, `targets`, `models`,
             `voters` or `in_force`.
-        version: For `in_force`: the version asked about.
+        version: For `in_force`: the version of the configuration to check.
     """
 
     view: str
@@ -345,24 +373,33 @@
 
 
 class Status(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Answers `AskStatus` with JSON."""
+    """Answer to `AskStatus`.
+
+    Attributes:
+        body: The view as JSON.
+    """
 
     body: bytes
 
 
 class DrainTarget(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Operators ask for a target to get no new work, or to get it again."""
+    """Operator's request to start or end the draining of a target.
+
+    Attributes:
+        name: Name of the target.
+        draining: Whether the target gets no new requests.
+    """
 
     name: str
     draining: bool
 
 
 class Ping(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Asks for a sign of life on this very connection."""
+    """Requests a `Pong` over the same connection, to check that it works."""
 
 
 class Pong(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Answers a `Ping`."""
+    """Answer to `Ping`."""
 
 
 Message = (
@@ -395,7 +432,7 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """One frame.
+    """Content of one frame.
 
     Attributes:
         id: Above 0 for a request and its answer; 0 for a push.
@@ -406,14 +443,15 @@
     body: Message
 
 
-# Frames of at least so many bytes are packed: reports of demand and tables of
-# targets repeat names, and shrink to a third or less. Bytes between failure
-# domains cost more than the few microseconds that this takes.
+# Frames of at least this size are compressed. Demand reports and tables of
+# targets repeat names and shrink to a third or less. Traffic between failure
+# domains costs more than the few microseconds that compression takes.
 _PLAIN_BYTES = 200
 _PACKING = 1
-# The first byte of a packed frame; that of a plain one tells an array of two.
+# First byte of a compressed frame (zlib). A plain frame starts with the byte
+# of a msgpack array of two elements.
 _PACKED = b"\x78"
-# A packed frame that unpacks to more is none of ours.
+# No message of the system is larger when decompressed.
 _MOST_BYTES = 64 * 1024 * 1024
 
 _encoder = msgspec.msgpack.Encoder()
@@ -421,7 +459,7 @@
 
 
 def encode(envelope: Envelope) -> bytes:
-    """Returns a frame's bytes."""
+    """Returns an envelope's frame, compressed if that makes it shorter."""
     data = _encoder.encode(envelope)
     if len(data) < _PLAIN_BYTES:
         return data
@@ -430,7 +468,11 @@
 
 
 def decode(data: bytes) -> Envelope:
-    """Reads a frame; raises msgspec.DecodeError."""
+    """Decodes a frame.
+
+    Raises:
+        msgspec.DecodeError: The frame is malformed.
+    """
     if data[:1] == _PACKED:
         data = _unpacked(data)
     return _decoder.decode(data)
@@ -443,6 +485,6 @@
     except zlib.error as error:
         raise msgspec.DecodeError(f"bad packed frame: {error}") from error
     if not unpacker.eof:
-        # Cut off, or so large that it is none of ours.
+        # Truncated, or larger than `_MOST_BYTES`.
         raise msgspec.DecodeError("packed frame without its end")
     return plain
--- a/packages/endivestream/src/endivestream/site_messages.py
+++ b/packages/endivestream/src/endivestream/site_messages.py
@@ -1,8 +1,9 @@
-"""Messages between entry hosts and the control hosts of a site.
+"""Messages between the entry hosts and the control hosts of a site.
 
-An entry host carries callers' requests and decides alone; the leader among the
-control hosts tells it what holds: configuration, targets, other entry hosts,
-credit. `Renew` and `Renewed` are the heartbeat of that; `News` is pushed.
+An entry host serves callers' requests and decides on them by itself, from state
+that the leader of the control hosts sends: configuration, table of targets,
+list of entry hosts and team credit. `Renew` and `Renewed` are the heartbeat;
+`News` is pushed.
 """
 
 from __future__ import annotations
@@ -17,15 +18,16 @@
 
 
 class EntryHost(NamedTuple):
-    """An entry host, as others see it.
+    """An entry host as listed in the leader's table.
 
     Attributes:
-        name: Unique among hosts.
-        incarnation: Rises with each start of the process.
-        domain: Its failure domain.
+        name: Name, unique among hosts.
+        incarnation: Number of this process start; rises with each start.
+        domain: Failure domain of the host.
         address: `IP:PORT` where callers connect.
-        draining: Whether it takes no new callers.
-        peers: `tcp://IP:PORT` where it answers other entry hosts, or empty.
+        draining: Whether the host accepts no new callers.
+        peers: `tcp://IP:PORT` where the host answers other entry hosts, or
+            empty.
     """
 
     name: str
@@ -37,16 +39,17 @@
 
 
 class Demand(NamedTuple):
-    """How often a model is asked for on one entry host.
+    """Demand for a model as counted on one entry host.
 
     Attributes:
-        service: The service.
-        model: The model.
-        adapter: The adapter, or empty.
+        service: Name of the service.
+        model: Name of the model.
+        adapter: Name of the adapter, or empty.
         rate: Requests a second, averaged over the last seconds.
-        waiting: Requests that wait because no target holds it.
-        urgency: Least objective among the waiting, in seconds; 0 if none.
-        unserved: For how many seconds no request for it has found a target.
+        waiting: Number of requests that wait because no target has loaded it.
+        urgency: Shortest objective of the waiting requests, in seconds; 0 if
+            none.
+        unserved: Seconds for which no request for the model has found a target.
     """
 
     service: str
@@ -59,14 +62,15 @@
 
 
 class Use(NamedTuple):
-    """Requests of one entry host that run on a target for a model.
+    """Requests of one entry host that a target is running for a model.
 
     Attributes:
-        target: The target's id.
-        model: The model.
-        adapter: The adapter, or empty.
-        running: How many run now.
-        starting: How many of these have had no byte of an answer yet.
+        target: Id of the target.
+        model: Name of the model.
+        adapter: Name of the adapter, or empty.
+        running: Number of requests running now.
+        starting: Number of these that have not yet received a byte of an
+            answer.
     """
 
     target: str
@@ -77,13 +81,13 @@
 
 
 class Need(NamedTuple):
-    """Credit that an entry host asks for.
+    """A team's credit as held and needed by an entry host.
 
     Attributes:
-        team: The team.
-        returned: Credit given back, because demand has fallen.
-        balance: Credit still held.
-        wanted: Credit it would like to hold.
+        team: Name of the team.
+        returned: Credit that the host returns because demand has fallen.
+        balance: Credit that the host still holds.
+        wanted: Credit that the host needs in total.
     """
 
     team: str
@@ -93,18 +97,19 @@
 
 
 class Grant(NamedTuple):
-    """Credit given to an entry host, and when more can be had.
+    """A team's credit granted to an entry host, and when more is available.
 
     Attributes:
-        team: The team.
-        credit: Credit to add to what is held.
-        rate: Credit a second that the host may count on by itself while it
-            hears from no leader.
-        short: Seconds until as much as was wanted can be given; 0 if it was.
-        most: The most that the host may hold; it returns the rest.
-        after: Seconds until the credit may be spent, by the request that
-            asked for it and no other.
-        told: Seconds after which a refused caller should come back.
+        team: Name of the team.
+        credit: Credit to add to the host's balance.
+        rate: Credit a second that the host may add by itself while it receives
+            nothing from a leader.
+        short: Seconds until the requested credit is available; 0 if it was
+            granted.
+        most: Maximum credit that the host may hold; it returns the excess.
+        after: Seconds until the credit may be spent, and only by the request
+            that it was requested for.
+        told: Seconds after which a refused caller should retry.
     """
 
     team: str
@@ -117,11 +122,12 @@
 
 
 class Coming(NamedTuple):
-    """A model that a target is about to hold.
+    """A model that a target is loading.
 
     Attributes:
-        model: The model.
-        seconds: How long it will still take, from when this was said.
+        model: Name of the model.
+        seconds: Remaining load time in seconds, counted from when the planner
+            sent it.
     """
 
     model: str
@@ -129,14 +135,15 @@
 
 
 class Target(msgspec.Struct, frozen=True, kw_only=True):
-    """A target, as entry hosts are told of it.
+    """A target as listed in the table that the leader sends to entry hosts.
 
     Attributes:
-        said: Its newest registration.
-        closing: Models that it is about to unload: no new requests for them.
-        adapters: `MODEL/ADAPTER` that it holds, by the planner's own orders.
-        silent: Whether it has not reported for longer than it should.
-        coming: Models that it is loading.
+        said: Newest registration of the target.
+        closing: Models about to be unloaded; they get no new requests.
+        adapters: Loaded adapters as `MODEL/ADAPTER`, from the planner's own
+            orders.
+        silent: Whether the target's reports are overdue.
+        coming: Models that the target is loading.
     """
 
     said: registry_lib.Registration
@@ -147,14 +154,14 @@
 
 
 class RateLimit(NamedTuple):
-    """What a target has said of the requests that it takes.
+    """Rate limit that a target has reported for its requests.
 
     Attributes:
-        target: The target's id.
-        born: The start of the target that said it.
-        rate: Requests a second from all hosts together; None if it names no
-            limit any more.
-        age: Seconds since it said so.
+        target: Id of the target.
+        born: Start time of the target process that reported the limit.
+        rate: Requests a second from all hosts together; None if the target no
+            longer reports a limit.
+        age: Seconds since the limit was reported.
     """
 
     target: str
@@ -164,11 +171,11 @@
 
 
 class Position(NamedTuple):
-    """Which state of a leader's table a host has.
+    """Version of a leader's table of targets.
 
     Attributes:
-        term: The leader's term.
-        number: Rises with each change in that term.
+        term: Term of the leader.
+        number: Version within the term; rises with each change.
     """
 
     term: int = 0
@@ -176,18 +183,20 @@
 
 
 class News(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """What is different at the leader; pushed, or part of `Renewed`.
+    """Table update from the leader; pushed, or sent as part of `Renewed`.
 
     Attributes:
-        position: The table's state after this.
-        after: The state that this builds on; None if it is the whole table.
-        complete: Whether targets that are not named in a whole table are
-            gone. A new leader has not heard of all yet.
-        targets: Targets that are new or different.
-        gone: Targets that are gone.
-        entries: All entry hosts, or None if they are the same.
-        document: The configuration, or None if it is the same.
-        limits: What is known of the limits of these targets.
+        position: Version of the table after this update.
+        after: Version that the update applies to; None if it holds the complete
+            table.
+        complete: For a complete table, whether targets missing from it are
+            removed. False while a new leader may not have received reports of
+            all targets.
+        targets: New and changed targets.
+        gone: Ids of removed targets.
+        entries: All entry hosts, or None if unchanged.
+        document: The configuration, or None if unchanged.
+        limits: Known rate limits of the targets in this update.
     """
 
     position: Position
@@ -201,22 +210,23 @@
 
 
 class Renew(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """An entry host's heartbeat.
+    """Heartbeat of an entry host; renews its configuration lease.
 
     Attributes:
-        host: Who asks.
-        version: The configuration that it has; 0 for none.
-        position: The table that it has.
-        demand: What was asked for since the last report.
-        uses: What runs where.
-        needs: Credit of teams.
+        host: The sending host.
+        version: Version of the host's configuration; 0 for none.
+        position: Version of the host's table of targets.
+        demand: Demand for models since the last report.
+        uses: Running requests by target and model.
+        needs: Credit of teams that the host holds and needs.
         failing: Targets that break this host's requests or leave them
             unanswered.
-        relay: Name of the relay that this host follows; empty if the leader
-            pushes to it directly.
-        controls: Digest of the control hosts that a leader last named to it.
-        limits: Limits of targets that the leader may not know: all that this
-            host knows, if it has just found the leader.
+        relay: Name of the relay that forwards pushes to this host; empty if the
+            leader pushes to it directly.
+        controls: Digest of the addresses of control hosts that the host last
+            received from a leader.
+        limits: Rate limits that the leader may lack: all that this host has, if
+            it has just found the leader.
     """
 
     host: EntryHost
@@ -232,18 +242,18 @@
 
 
 class Renewed(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Answers `Renew`.
+    """Answer to `Renew`.
 
     Attributes:
-        seconds: How long the configuration may be acted on, from the sending
-            of the question.
-        version: The version in force.
-        news: What the host lacks, or None.
-        grants: Credit.
-        controls: Where control hosts listen; empty if the host's digest
+        seconds: Duration of the configuration lease, from the sending of the
+            `Renew`.
+        version: Version of the configuration in force.
+        news: Table update that the host lacks, or None.
+        grants: Credit granted to the host.
+        controls: Addresses of the control hosts; empty if the host's digest
             matches.
-        loads: Requests that other entry hosts have running, by target; None
-            if the host receives them through a relay.
+        loads: Requests that other entry hosts are running, by target; None if
+            the host receives them through a relay.
         every: Seconds between renewals; 0 for the host's own setting.
     """
 
@@ -257,10 +267,10 @@
 
 
 class Loads(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Loads of all targets; pushed to relays, which forward them.
+    """Load of all targets; pushed to relays, which forward it.
 
     Attributes:
-        loads: Requests that all entry hosts have running, by target; those
+        loads: Requests that all entry hosts are running, by target; requests
             whose prompts are still being read count twice.
     """
 
@@ -268,32 +278,32 @@
 
 
 class Follow(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Asks an entry host to relay the leader's pushes for some seconds.
+    """Requests an entry host to relay the leader's pushes for some seconds.
 
     Attributes:
-        host: The asking host's name.
+        host: Name of the requesting host.
     """
 
     host: str
 
 
 class Following(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Answers `Follow`.
+    """Answer to `Follow`.
 
     Attributes:
-        relays: Whether the host forwards the leader's pushes to the asker.
+        relays: Whether the host forwards the leader's pushes to the requester.
     """
 
     relays: bool
 
 
 class CreditAsk(NamedTuple):
-    """Credit for one request that waits for it.
+    """Request for credit for one waiting request of a caller.
 
     Attributes:
-        need: What is needed.
-        soon: Seconds that the request can wait and still be in time.
-        patience: Seconds that it can wait at all.
+        need: Credit of the team that the host holds and needs.
+        soon: Seconds that the caller's request can wait and still be on time.
+        patience: Maximum seconds that the caller's request can wait.
     """
 
     need: Need
@@ -302,11 +312,11 @@
 
 
 class AskCredit(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Asks for credit at once, for requests that wait for it.
+    """Requests credit immediately, for waiting requests of callers.
 
     Attributes:
-        host: The asking host's name.
-        asked: What each needs.
+        host: Name of the requesting host.
+        asked: Credit needed by each waiting request.
     """
 
     host: str
@@ -314,29 +324,42 @@
 
 
 class GiveCredit(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Answers `AskCredit`, a grant for each question."""
+    """Answer to `AskCredit`.
+
+    Attributes:
+        grants: One grant for each entry of `asked`, in the same order.
+    """
 
     grants: tuple[Grant, ...]
 
 
 class AskRepeat(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Asks for one repeat from a service's shared repeat budget."""
+    """Requests one retry from a service's shared retry budget.
+
+    Attributes:
+        service: Name of the service.
+    """
 
     service: str
 
 
 class GiveRepeat(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Answers `AskRepeat`."""
+    """Answer to `AskRepeat`.
+
+    Attributes:
+        granted: Whether the budget allows the retry.
+    """
 
     granted: bool
 
 
 class AskSend(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Asks for one send to a target that names a limit.
+    """Requests permission for one send to a target with a rate limit.
 
     Attributes:
-        limit: The target's limit, as the asking host knows it.
-        patience: Seconds for which the request can wait.
+        limit: Rate limit of the target, as last received by the requesting
+            host.
+        patience: Seconds that the caller's request can wait.
     """
 
     limit: RateLimit
@@ -344,11 +367,11 @@
 
 
 class GiveSend(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Answers `AskSend`.
+    """Answer to `AskSend`.
 
     Attributes:
-        wait: Seconds after which the request may be sent; None if it may not.
-        again: If not, seconds after which to ask again.
+        wait: Seconds after which the request may be sent; None if denied.
+        again: If denied, seconds after which to request permission again.
     """
 
     wait: float | None = None
@@ -356,17 +379,21 @@
 
 
 class CountSend(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Tells of an order or question that was sent to a target with a limit."""
+    """Reports an order or query sent to a target with a rate limit.
+
+    Attributes:
+        target: Id of the target.
+    """
 
     target: str
 
 
 class Missing(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Requests wait for models or adapters that no target holds.
+    """Reports requests that wait for models or adapters not loaded anywhere.
 
     Attributes:
-        host: The host that has them.
-        demand: What is missing.
+        host: Name of the reporting entry host.
+        demand: Demand for the missing models and adapters.
     """
 
     host: str
@@ -374,13 +401,14 @@
 
 
 class FedDemand(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """What an entry host counts, for the host that places models.
+    """Planner feed item: demand and use reported by an entry host.
 
     Attributes:
-        host: The entry host.
-        demand: What is asked for.
-        uses: What runs where.
-        failing: Targets that fail it.
+        host: Name of the entry host.
+        demand: Demand for models on that host.
+        uses: Running requests of that host by target and model.
+        failing: Targets that break the host's requests or leave them
+            unanswered.
     """
 
     host: str
@@ -390,24 +418,32 @@
 
 
 class FedGone(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """An entry host is gone."""
+    """Planner feed item: an entry host was removed.
+
+    Attributes:
+        host: Name of the entry host.
+    """
 
     host: str
 
 
 class FedReport(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """A target's own report."""
+    """Planner feed item: a target's own report.
+
+    Attributes:
+        said: Newest registration of the target.
+    """
 
     said: registry_lib.Registration
 
 
 class FedTargets(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Which targets there are.
+    """Planner feed item: the targets in the leader's table.
 
     Attributes:
-        names: All of them.
-        silent: Those that miss reports.
-        complete: Whether every sound one has been heard of.
+        names: Ids of all targets.
+        silent: Ids of the targets whose reports are overdue.
+        complete: Whether every working target has reported to this leader.
     """
 
     names: tuple[str, ...] = ()
@@ -416,7 +452,11 @@
 
 
 class FedLimits(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Requests a second of all targets that name a limit."""
+    """Planner feed item: rate limits of targets.
+
+    Attributes:
+        rates: Requests a second, by id, of all targets that report a limit.
+    """
 
     rates: dict[str, float]
 
@@ -425,11 +465,11 @@
 
 
 class AskSeat(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """A control host asks to place models, or for what is new.
+    """Requests the planner lease, or new planner feed items for its holder.
 
     Attributes:
-        host: The asking machine.
-        position: Up to where it has the feed.
+        host: Name of the requesting control host.
+        position: Position in the planner feed up to which the host has items.
     """
 
     host: str
@@ -437,16 +477,17 @@
 
 
 class ToldSeat(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Answers `AskSeat`.
+    """Answer to `AskSeat`.
 
     Attributes:
-        holder: Who holds the seat; all else is for that host.
-        fence: The fencing token of its orders.
-        seconds: How long it may order, from the sending of the question.
-        wait: Seconds before its first order.
-        position: Up to where it has the feed after this.
-        fresh: Whether the items are the whole, not what is new.
-        items: What it should know.
+        holder: Name of the lease holder; the other fields are for that host
+            only.
+        fence: Fencing token of the holder's orders.
+        seconds: Duration of the planner lease, from the sending of the request.
+        wait: Seconds that the holder waits before its first order.
+        position: Position in the planner feed after these items.
+        fresh: Whether the items are the complete state and not a change to it.
+        items: Planner feed items.
     """
 
     holder: str
@@ -459,14 +500,14 @@
 
 
 class Notice(msgspec.Struct, frozen=True, kw_only=True):
-    """What the host that places models says of a target.
+    """Placement update: the planner's decision about a target.
 
     Attributes:
-        target: The target.
-        number: Rises with each notice of a holder.
-        closing: Models that it is about to unload.
-        adapters: `MODEL/ADAPTER` that it holds.
-        coming: Models that it is loading.
+        target: Id of the target.
+        number: Rises with each placement update of a lease holder.
+        closing: Models about to be unloaded.
+        adapters: Loaded adapters as `MODEL/ADAPTER`.
+        coming: Models that the target is loading.
     """
 
     target: str
@@ -477,11 +518,11 @@
 
 
 class TellNotices(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Tells the leader what was decided; answered by `Registered`.
+    """Sends placement updates to the leader; answered by `Registered`.
 
     Attributes:
-        fence: The fencing token of who decided it.
-        notices: One for each target concerned.
+        fence: Fencing token of the lease holder that made the decisions.
+        notices: One placement update for each target concerned.
     """
 
     fence: int
@@ -489,12 +530,12 @@
 
 
 class AskTurn(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """An entry host asks the owner of an engine when to send a prompt.
+    """Requests a prefill turn from an engine's turn owner.
 
     Attributes:
-        target: The engine.
-        tokens: How long the prompt is.
-        rank: 0 for the most urgent.
+        target: Id of the engine.
+        tokens: Length of the prompt in tokens.
+        rank: Urgency of the request; 0 is the most urgent.
     """
 
     target: str
@@ -503,56 +544,84 @@
 
 
 class GiveTurn(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Answers `AskTurn`: how many seconds to wait."""
+    """Answer to `AskTurn`.
+
+    Attributes:
+        seconds: Seconds to wait before sending the prompt.
+    """
 
     seconds: float
 
 
 class Apply(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """A control host passes an operator's document on to the leader."""
+    """Forwards an operator's configuration from a control host to the leader.
+
+    Attributes:
+        document: The configuration.
+    """
 
     document: document_lib.Document
 
 
 class Applied(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Answers `Apply`: the version in force."""
+    """Answer to `Apply`.
+
+    Attributes:
+        version: Version of the configuration in force.
+    """
 
     version: int
 
 
 class Register(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """A control host passes a target's report on to the leader."""
+    """Forwards a target's report from a control host to the leader.
+
+    Attributes:
+        said: Registration that the target sent.
+    """
 
     said: registry_lib.Registration
 
 
 class Deregister(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """A control host passes a target's good-bye on to the leader."""
+    """Forwards a target's deregistration from a control host to the leader.
+
+    Attributes:
+        name: Id of the target.
+    """
 
     name: str
 
 
 class Registered(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Answers `Register` and `Deregister`: entry hosts have heard of it."""
+    """Answer to `Register`, `Deregister` and `TellNotices`.
+
+    To a `Deregister` or a draining `Register` it is sent once entry hosts have
+    received the change, or after a bounded time without that.
+    """
 
 
 class AskVersion(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """An entry host asks which configuration is the newest."""
+    """Entry host's request for the newest version of the configuration."""
 
 
 class ToldVersion(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Answers `AskVersion`; 0 if there is none yet."""
+    """Answer to `AskVersion`.
+
+    Attributes:
+        version: Newest version of the configuration; 0 if there is none yet.
+    """
 
     version: int
 
 
 class Confirm(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """An entry host acts on what it was told; not answered.
+    """Reports what is in force on an entry host; not answered.
 
     Attributes:
-        host: The host's name.
-        version: The configuration in force there.
-        position: The table that it has.
+        host: Name of the entry host.
+        version: Version of the configuration in force on it.
+        position: Version of its table of targets.
     """
 
     host: str
@@ -561,11 +630,15 @@
 
 
 class ReadDocument(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Asks the leader for the configuration as the operator sent it."""
+    """Requests the configuration as the operator sent it."""
 
 
 class DocumentRead(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Answers `ReadDocument`; `source` is empty if there is none yet."""
+    """Answer to `ReadDocument`.
+
+    Attributes:
+        source: Source of the configuration; empty if there is none yet.
+    """
 
     source: bytes
 
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -1,4 +1,4 @@
-"""Frames on links: their bytes, packed and plain, sound and broken."""
+"""Tests for frames on links: plain, compressed and malformed."""
 
 import unittest
 import zlib
@@ -35,7 +35,7 @@
         data = messages.encode(envelope)
         self.assertEqual(envelope, messages.decode(data))
 
-    def test_a_report_of_many_models_shrinks(self):
+    def test_demand_for_many_models_is_compressed(self):
         demand = [
             site_messages.Demand("desk", f"model-{n}", "", 0.2, 0, 0.0)
             for n in range(40)
@@ -43,16 +43,18 @@
         plain = msgspec.msgpack.encode(frame(demand))
         self.assertLess(len(messages.encode(frame(demand))), len(plain) / 2)
 
-    def test_broken_frames_are_told_as_such(self):
-        """A peer sends half a frame, garbage, or one that unpacks for ever.
+    def test_malformed_frames_raise_decode_error(self):
+        """Malformed frames must fail with the one error that readers catch.
 
-        The reader drops the frame with a line in its log and goes on.
+        A peer sends a truncated frame, random bytes, or a frame that expands
+        beyond the limit. The reader logs the error, drops the frame and
+        continues.
         """
-        whole = messages.encode(
+        encoded = messages.encode(
             frame([site_messages.Demand("desk", "m" * 500, "", 0.2, 0, 0.0)])
         )
         bomb = zlib.compress(b"\0" * (messages._MOST_BYTES + 1))
-        for data in (whole[:-3], b"\x78rubbish", b"", b"\xff", bomb):
+        for data in (encoded[:-3], b"\x78rubbish", b"", b"\xff", bomb):
             with self.assertRaises(msgspec.DecodeError):
                 messages.decode(data)
 
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -16,31 +16,31 @@
     def setUp(self):
         self.registry = registry_lib.Registry()
 
-    def test_a_late_report_does_not_undo_a_drain(self):
-        """No new work goes to a target that has said it leaves.
+    def test_late_report_does_not_undo_drain(self):
+        """A target that reported its drain must get no new work.
 
-        Its report from before arrives after the one that said so, by way of
-        another host.
+        An earlier report arrives through another host after the report with the
+        drain.
         """
         self.registry.note(said(number=5, draining=True), 1.0)
         self.assertEqual(self.registry.note(said(number=4), 2.0), [])
         self.assertTrue(self.registry.find("t1").said.draining)
 
-    def test_a_report_from_before_the_good_bye_brings_nobody_back(self):
-        """Nothing is sent to an address that another service may have taken.
+    def test_report_sent_before_deregistration_does_not_restore_target(self):
+        """Requests must not go to an address that another service may use.
 
-        The target leaves; a report that was held up on its way arrives.
+        The target deregisters; then a report arrives that was sent before.
         """
         self.registry.note(said(number=5), 1.0)
         self.assertTrue(self.registry.leave("t1", 2.0))
         self.assertEqual(self.registry.note(said(number=6), 3.0), [])
         self.assertIsNone(self.registry.find("t1"))
 
-    def test_a_good_bye_before_the_first_report_is_remembered(self):
-        """Nothing is sent to a target whose good-bye came by a new leader.
+    def test_deregistration_before_first_report_is_remembered(self):
+        """A new leader must not add a target that has already deregistered.
 
-        The leader has not heard of it yet; the good-bye arrives first, then a
-        report that was held up. A later start of the same name counts anew.
+        The leader has no report of it yet: the deregistration arrives first,
+        then a delayed report. A later start of the same name is accepted.
         """
         self.assertFalse(self.registry.leave("t1", 1.0))
         self.assertEqual(self.registry.departed, ("t1",))
@@ -50,19 +50,19 @@
         )
         self.assertEqual(self.registry.departed, ())
 
-    def test_a_newer_start_outlives_the_good_bye_of_an_older(self):
-        """A target that came back is not lost with a leader's memory.
+    def test_departure_of_older_start_does_not_remove_newer_start(self):
+        """A restarted target must not be removed by an old log entry.
 
-        The log says that an older start has left.
+        The log contains the departure of an earlier start of it.
         """
         self.registry.note(said(born=5, number=9), 1.0)
         self.assertFalse(self.registry.leave("t1", 2.0, born=4))
         self.assertIsNotNone(self.registry.find("t1"))
 
-    def test_a_restart_under_the_same_name_counts_anew(self):
-        """A target that came back is used at once.
+    def test_restart_under_same_name_is_not_taken_for_outdated(self):
+        """A restarted target must be used immediately.
 
-        It has the id of before, and its count of reports starts again.
+        It has the same id as before, and its report numbers start again.
         """
         self.registry.note(said(born=1, number=90), 1.0)
         self.assertEqual(
@@ -73,11 +73,12 @@
             self.registry.note(said(born=3, number=1), 4.0), ["t1"]
         )
 
-    def test_an_address_belongs_to_the_newest_start(self):
-        """A request meets the process that now listens, not its predecessor.
+    def test_address_belongs_to_newest_start(self):
+        """A request must reach the process that now listens on an address.
 
-        A new process has the address of one that died behind a cut; when the
-        cut heals, the dead one's last report arrives.
+        A new process has the address of one that failed behind a network
+        partition; after the partition heals, the last report of the failed one
+        arrives.
         """
         self.registry.note(said("old", born=1), 1.0)
         changed = self.registry.note(said("new", born=9), 2.0)
@@ -87,7 +88,7 @@
         )
         self.assertEqual(set(self.registry.sessions), {"new"})
 
-    def test_silent_targets_are_forgotten(self):
+    def test_targets_without_reports_expire(self):
         self.registry.note(said(), 1.0)
         self.assertEqual(self.registry.expire(5.0, silence=10.0), [])
         self.assertEqual(self.registry.expire(12.0, silence=10.0), ["t1"])
