--- a/packages/endivestream/src/endivestream/__init__.py
+++ b/packages/endivestream/src/endivestream/__init__.py
@@ -1,8 +1,8 @@
 """Serves many models on few accelerators, over many small hosts.
 
-The file to read first is `process/daemon.py`: it builds every long-lived
-part of one process and shows how they are wired. The packages are laid out
-by life span: `request`, `connection`, `version` and `process`.
+Start reading at `process/daemon.py`: it creates every long-lived object of a
+process and shows how they are connected. The packages are organized by
+lifetime: `request`, `connection`, `version` and `process`.
 """
 
 __version__ = "0.1.0"
--- a/packages/endivestream/src/endivestream/clock.py
+++ b/packages/endivestream/src/endivestream/clock.py
@@ -1,4 +1,4 @@
-"""The one clock by which leases and silences are counted."""
+"""The clock used for leases and for times without reports."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 def now() -> float:
-    """Returns seconds that never go back and that count suspension.
+    """Returns seconds of a clock that never goes back and counts suspension.
 
-    The monotonic clock stands still while a host is suspended. A lease kept
-    by it would still look valid when the host wakes up (symptom: a withdrawn
-    key works, or an old configuration is read, seconds after others moved
-    on). The boot clock counts that time.
+    The monotonic clock stops while a host is suspended. A lease measured by it
+    would still appear valid after the host resumes (symptom: a revoked key is
+    accepted, or an old configuration is used, seconds after it was replaced on
+    other hosts). The boot clock includes that time.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/packages/endivestream/src/endivestream/findings.py
+++ b/packages/endivestream/src/endivestream/findings.py
@@ -1,8 +1,8 @@
 """Errors as values: findings with their place, failures with their outcome.
 
-Nothing in the decision code raises for bad input. A parser collects every
-`Finding` and hands them over together; a request that ends without its answer
-ends with one `Failure`, which says whether the work may have run.
+Decision code raises no exceptions for invalid input. A parser collects every
+`Finding` and returns them together; a request that ends without its answer ends
+with one `Failure`, which states whether the work may have run.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 
 class Place(NamedTuple):
-    """Where in an input a finding was made.
+    """Position in an input.
 
     Attributes:
         source: File name, or a word such as `command line`.
-        line: Line number from 1; 0 when the source has no lines.
-        column: Column from 1; 0 when unknown.
+        line: Line number from 1; 0 if the source has no lines.
+        column: Column from 1; 0 if unknown.
     """
 
     source: str
@@ -38,11 +38,11 @@
 
 
 class Finding(NamedTuple):
-    """One fault in an input, with its place.
+    """One fault in an input, with its position.
 
     Attributes:
-        place: Where it stands.
-        what: What is wrong, naming the offending value.
+        place: Position of the fault.
+        what: Description of the fault, with the invalid value.
     """
 
     place: Place
@@ -53,33 +53,33 @@
 
 
 def unknown_word(kind: str, word: str, valid: Iterable[str]) -> str:
-    """Says that `word` is not one of `valid`, with a near match if any.
+    """Returns a message for an invalid word, with the closest match if any.
 
     Args:
         kind: What the word should have named, such as `model`.
-        word: The offending word.
-        valid: The words that would have been right.
+        word: The invalid word.
+        valid: The valid words.
 
     Returns:
         A sentence for `Finding.what`.
     """
     choices = sorted(valid)
     text = f"unknown {kind} {word!r}"
-    near = difflib.get_close_matches(word, choices, n=1)
-    if near:
-        text += f", did you mean {near[0]!r}?"
-    shown = ", ".join(choices[:12]) or "none are defined"
+    matches = difflib.get_close_matches(word, choices, n=1)
+    if matches:
+        text += f", did you mean {matches[0]!r}?"
+    listed = ", ".join(choices[:12]) or "none are defined"
     if len(choices) > 12:
-        shown += f", and {len(choices) - 12} more"
-    return f"{text}; valid: {shown}"
+        listed += f", and {len(choices) - 12} more"
+    return f"{text}; valid: {listed}"
 
 
 class Outcome(enum.StrEnum):
-    """What a caller may conclude about the work behind a failed request.
+    """Whether the work of a failed request may have run.
 
-    `NOT_RUN` is said only when it is proved: no byte of the request left for
-    a target. `UNKNOWN` means that the work may have run. `FAILED` means that
-    it ran and did not end well.
+    `NOT_RUN` is used only when it is proved: no byte of the request was sent to
+    a target. `UNKNOWN` means that the work may have run. `FAILED` means that it
+    ran and failed.
     """
 
     NOT_RUN = "not_run"
@@ -89,15 +89,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Failure:
-    """Why a request ended without its answer.
+    """Reason why a request ended without its answer.
 
     Attributes:
         outcome: Whether the work may have run.
-        reason: A short fixed word, such as `over_rate`; see docs/CALLERS.md.
-        detail: A sentence for a person.
-        status: The HTTP status to answer with.
-        retry_after: Seconds after which to come back; None when coming back
-            would not help.
+        reason: Reason code, such as `over_rate`; see docs/CALLERS.md.
+        detail: Sentence for a human reader.
+        status: HTTP status of the answer.
+        retry_after: Seconds after which to retry; None if a retry would not
+            help.
     """
 
     outcome: Outcome
@@ -107,7 +107,7 @@
     retry_after: float | None = None
 
     def as_json(self) -> dict[str, Any]:
-        """Returns the error object of the inference interface."""
+        """Returns the error object of the inference API."""
         error: dict[str, Any] = {
             "message": self.detail,
             "type": self.reason,
@@ -123,7 +123,7 @@
 def not_run(
     reason: str, detail: str, *, status: int, retry_after: float | None = None
 ) -> Failure:
-    """Returns a failure of work of which no byte left for a target."""
+    """Returns a failure of work of which no byte was sent to a target."""
     return Failure(
         outcome=Outcome.NOT_RUN,
         reason=reason,
--- a/packages/endivestream/src/endivestream/logs.py
+++ b/packages/endivestream/src/endivestream/logs.py
@@ -1,4 +1,4 @@
-"""One log line of key=value pairs for each event."""
+"""Logging of events as one line of key=value pairs each."""
 
 from __future__ import annotations
 
@@ -15,38 +15,38 @@
 
 from loguru import logger
 
-# Innermost places of an error that go into its line.
-_PLACES = 6
-# Lines a second that a process may write for long, and at once. A host of a
-# small site ends 10 to 20 requests a second, one line each.
-_LINES_PER_SECOND = 300.0
-_LINES_AT_ONCE = 1500.0
-# The last part is kept for warnings and errors.
-_KEPT_FOR_WARNINGS = 0.2
-_WARNING = 30  # The library's number for that level.
-_PLAIN = frozenset(
+# Number of innermost traceback frames logged with an error.
+_MAX_TRACEBACK_FRAMES = 6
+# Lines that a process may write: sustained rate, and size of a burst. A host of
+# a small site completes 10 to 20 requests a second, with one line each.
+_MAX_LINES_PER_SECOND = 300.0
+_MAX_LINE_BURST = 1500.0
+# Share of the burst that is reserved for warnings and errors.
+_WARNING_RESERVE_SHARE = 0.2
+_WARNING_LEVEL = 30  # Loguru's number for WARNING.
+_UNQUOTED_CHARACTERS = frozenset(
     "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789"
     "._:/@+-,[]{}()*"
 )
 
 
 class Message(Protocol):
-    """A line of the library: text with the record that it is made from."""
+    """A log line as passed to a loguru sink: text with its record."""
 
     record: dict[str, Any]
 
 
 def start(*, level: str, host: str, stream: TextIO | None = None) -> None:
-    """Sends all lines to a stream.
+    """Sends all log lines to a stream.
 
     Args:
-        level: The least level shown: `DEBUG`, `INFO`, `WARNING` or `ERROR`.
-        host: The host's name, a pair of every line.
-        stream: Where lines go; standard error if it is not given.
+        level: The minimum level: `DEBUG`, `INFO`, `WARNING` or `ERROR`.
+        host: Name of the host, part of every line.
+        stream: Stream to write to; standard error by default.
     """
     logger.remove()
     logger.add(
-        Bounded(stream or sys.stderr, host=host).write,
+        RateLimitedWriter(stream or sys.stderr, host=host).write,
         level=level,
         format=(
             "time={time:YYYY-MM-DDTHH:mm:ss.SSSZZ} level={level} "
@@ -55,16 +55,18 @@
         backtrace=False,
         diagnose=False,
     )
-    # The HTTP library speaks through the standard module; its records become
-    # lines of the same form.
-    logging.basicConfig(handlers=[_Bridge()], level=logging.WARNING, force=True)
+    # Tornado logs through the standard `logging` module; its records are
+    # converted into lines of the same format.
+    logging.basicConfig(
+        handlers=[_StandardLoggingHandler()], level=logging.WARNING, force=True
+    )
 
 
-class Bounded:
-    """Passes lines on up to a rate, and counts what it leaves out.
+class RateLimitedWriter:
+    """Writes log lines up to a rate, and counts the dropped ones.
 
-    A flood of lines (every request of a burst refused, a lost leader asked for
-    by each) would take the processor time that requests need.
+    Bursts of lines, such as one for each refused request or for each request
+    that finds no leader, would take the processor time that requests need.
     """
 
     def __init__(
@@ -77,40 +79,44 @@
         """Writes nothing yet.
 
         Args:
-            stream: Where lines go.
-            host: The host's name.
+            stream: Stream to write to.
+            host: Name of the host.
             now: The clock, in seconds.
         """
         self._stream = stream
         self._host = host
         self._now = now
-        self._level = _LINES_AT_ONCE
-        self._filled = now()
-        self._left_out = 0
+        self._tokens = _MAX_LINE_BURST
+        self._refilled_at = now()
+        self._dropped_lines = 0
 
     def write(self, message: Message) -> None:
-        """Writes a line, or counts it if there were too many lately."""
+        """Writes a line, or counts it if the rate limit is exceeded."""
         now = self._now()
-        grown = self._level + (now - self._filled) * _LINES_PER_SECOND
-        self._level, self._filled = min(_LINES_AT_ONCE, grown), now
-        urgent = message.record["level"].no >= _WARNING
-        least = 0.0 if urgent else _LINES_AT_ONCE * _KEPT_FOR_WARNINGS
-        if self._level < least + 1.0:
-            self._left_out += 1
+        refilled = (
+            self._tokens + (now - self._refilled_at) * _MAX_LINES_PER_SECOND
+        )
+        self._tokens, self._refilled_at = min(_MAX_LINE_BURST, refilled), now
+        is_warning = message.record["level"].no >= _WARNING_LEVEL
+        reserved = (
+            0.0 if is_warning else _MAX_LINE_BURST * _WARNING_RESERVE_SHARE
+        )
+        if self._tokens < reserved + 1.0:
+            self._dropped_lines += 1
             return
-        self._level -= 1.0
-        if self._left_out:
-            pairs = line("lines_left_out", {"count": self._left_out})
+        self._tokens -= 1.0
+        if self._dropped_lines:
+            pairs = line("lines_left_out", {"count": self._dropped_lines})
             time_text = f"{message.record['time']:YYYY-MM-DDTHH:mm:ss.SSSZZ}"
             self._stream.write(
                 f"time={time_text} level=WARNING host={self._host} {pairs}\n"
             )
-            self._left_out = 0
+            self._dropped_lines = 0
         self._stream.write(message)
 
 
-class _Bridge(logging.Handler):
-    """Turns records of the standard module into events."""
+class _StandardLoggingHandler(logging.Handler):
+    """Converts records of the standard `logging` module into events."""
 
     def emit(self, record: logging.LogRecord) -> None:
         text = self.format(record)
@@ -123,16 +129,16 @@
 
 
 def warn(name: str, **fields: Any) -> None:
-    """Logs an event that an operator should look at."""
+    """Logs an event that requires an operator's attention."""
     logger.opt(depth=1).warning(line(name, fields))
 
 
 def failed(name: str, error: BaseException, **fields: Any) -> None:
-    """Logs an error that nothing was prepared for, with where it arose."""
-    places = traceback.extract_tb(error.__traceback__)[-_PLACES:]
+    """Logs an unexpected error with the innermost frames of its traceback."""
+    frames = traceback.extract_tb(error.__traceback__)[-_MAX_TRACEBACK_FRAMES:]
     where = " < ".join(
-        f"{pathlib.PurePath(place.filename).name}:{place.lineno}"
-        for place in reversed(places)
+        f"{pathlib.PurePath(frame.filename).name}:{frame.lineno}"
+        for frame in reversed(frames)
     )
     fields |= {"error": repr(error), "where": where}
     logger.opt(depth=1).error(line(name, fields))
@@ -142,17 +148,17 @@
     """Returns `event=NAME` and the fields as key=value pairs.
 
     A value with a space, a quote or a control character is quoted as JSON, so
-    that input from outside can neither break a line nor forge a pair.
+    that external input can neither break a line nor forge a pair.
     """
     pairs = [f"event={name}"]
-    pairs += [f"{key}={_value(value)}" for key, value in fields.items()]
+    pairs += [f"{key}={_format_value(value)}" for key, value in fields.items()]
     return " ".join(pairs)
 
 
-def _value(value: Any) -> str:
+def _format_value(value: Any) -> str:
     if isinstance(value, float):
         return f"{value:.4g}"
     text = str(value)
-    if text and _PLAIN.issuperset(text):
+    if text and _UNQUOTED_CHARACTERS.issuperset(text):
         return text
     return json.dumps(text)
--- a/packages/endivestream/src/endivestream/loop_meter.py
+++ b/packages/endivestream/src/endivestream/loop_meter.py
@@ -1,9 +1,9 @@
-"""Where the time of a process's event loop goes, and how late it runs.
+"""Event loop time of a process by kind of work, and lateness of the loop.
 
-A control host has a fraction of a core. While its loop works off a burst it
-answers nobody, and its peers cannot tell that from a crash. What is counted
-here tells them apart afterwards: the lateness of the loop, and its time by
-kind of message.
+A control host has a fraction of a core. While its event loop processes a burst
+it answers no requests, and its peers cannot distinguish that from a crash.
+These measurements distinguish the two afterwards: lateness of the loop, and its
+time by type of message.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 from endivestream import logs
 from endivestream import tasks
 
-# How often the loop's lateness is looked at, in seconds.
-_LOOK_SECONDS = 0.05
-# A lateness, in seconds, that gets a log line: several lost heartbeats.
-_LATE_SECONDS = 0.15
-# Kinds named in a line.
-_KINDS_NAMED = 8
-# Between two lines that say what the loop did.
-_REPORT_SECONDS = 10.0
+# Interval between checks of the loop's lateness.
+_CHECK_INTERVAL_SECONDS = 0.05
+# Lateness from which a line is logged: it means several missed heartbeats.
+_LOGGED_LATENESS_SECONDS = 0.15
+# Kinds of work listed in a log line.
+_MAX_LOGGED_KINDS = 8
+# Interval between log lines with the load of the loop.
+_REPORT_INTERVAL_SECONDS = 10.0
 
 
 @dataclasses.dataclass(kw_only=True)
@@ -37,10 +37,10 @@
     """Work of one kind since the process started.
 
     Attributes:
-        count: How often it was done.
-        size: Bytes read or written for it.
-        seconds: Time of the event loop that it took.
-        longest: The longest uninterrupted part of that, in seconds.
+        count: Number of times that the work was done.
+        size: Bytes read or written by it.
+        seconds: Event loop time spent on it.
+        longest: Longest uninterrupted part of that time, in seconds.
     """
 
     count: int = 0
@@ -49,20 +49,20 @@
     longest: float = 0.0
 
     def add(self, seconds: float, *, count: int = 0, size: int = 0) -> None:
-        """Adds an uninterrupted run of the loop."""
+        """Adds an uninterrupted run of the event loop."""
         self.count += count
         self.size += size
         self.seconds += seconds
         self.longest = max(self.longest, seconds)
 
 
-class Spent(NamedTuple):
-    """What work of one kind had taken by some moment.
+class WorkSnapshot(NamedTuple):
+    """Work of one kind up to some time, or between two such times.
 
     Attributes:
-        seconds: Time of the event loop.
-        count: How often it was done.
-        size: Bytes read or written for it.
+        seconds: Event loop time spent on it.
+        count: Number of times that the work was done.
+        size: Bytes read or written by it.
     """
 
     seconds: float = 0.0
@@ -71,37 +71,37 @@
 
 
 class LoopMeter:
-    """Counts of one event loop. Lives as long as the process."""
+    """Measurements of one event loop. Lives as long as the process."""
 
     def __init__(self) -> None:
         self._tallies: dict[str, Tally] = {}
-        self._looked: dict[str, Spent] = {}
-        self._reported: dict[str, Spent] = {}
-        self._late = 0.0
-        self._latest = 0.0
+        self._at_last_check: dict[str, WorkSnapshot] = {}
+        self._at_last_report: dict[str, WorkSnapshot] = {}
+        self._lateness = 0.0
+        self._max_lateness = 0.0
         self._task: asyncio.Task[None] | None = None
 
     @property
     def tallies(self) -> dict[str, Tally]:
-        """Work by kind; the kinds are types of messages and names of ours."""
+        """Work by kind: types of messages, and names given to `span`."""
         return dict(self._tallies)
 
     @property
     def late(self) -> float:
-        """How late the loop was when it was last looked at, in seconds."""
-        return self._late
+        """Lateness of the loop at the last check, in seconds."""
+        return self._lateness
 
     @property
     def latest(self) -> float:
-        """The greatest lateness since the process started, in seconds."""
-        return self._latest
+        """Maximum lateness since the process started, in seconds."""
+        return self._max_lateness
 
     def start(self) -> None:
-        """Begins to look at the loop's lateness."""
+        """Starts to check the lateness of the loop."""
         self._task = tasks.start(self._run(), type(self).__name__)
 
     async def close(self) -> None:
-        """Ends that."""
+        """Ends the checks."""
         await tasks.cancel([self._task])
 
     def _tally(self, kind: str) -> Tally:
@@ -112,84 +112,86 @@
 
     @contextlib.contextmanager
     def span(self, kind: str, *, size: int = 0) -> Generator[Tally]:
-        """Counts what runs inside, which must not wait.
+        """Measures the work in the `with` block, which must not await.
 
         Args:
-            kind: What it is done for.
+            kind: Kind of the work.
             size: Bytes that it reads or writes.
         """
-        begun = clock.now()
+        started_at = clock.now()
         tally = self._tally(kind)
         try:
             yield tally
         finally:
-            tally.add(clock.now() - begun, count=1, size=size)
+            tally.add(clock.now() - started_at, count=1, size=size)
 
     @types.coroutine
     def timed(
         self, kind: str, work: Coroutine[Any, Any, Any]
     ) -> Generator[Any, Any, Any]:
-        """Awaits a coroutine and counts its own time, without its waits."""
+        """Awaits a coroutine and measures its time without its waits."""
         tally = self._tally(kind)
         tally.count += 1
-        sent: Any = None
+        value_to_send: Any = None
         error: BaseException | None = None
         while True:
-            begun = clock.now()
+            started_at = clock.now()
             try:
                 if error is None:
-                    waits_for = work.send(sent)
+                    awaited = work.send(value_to_send)
                 else:
-                    waits_for = work.throw(error)
+                    awaited = work.throw(error)
             except StopIteration as done:
                 return done.value
             finally:
-                tally.add(clock.now() - begun)
-            sent, error = None, None
+                tally.add(clock.now() - started_at)
+            value_to_send, error = None, None
             try:
-                sent = yield waits_for
-            except BaseException as raised:  # Passed on to the coroutine.
-                error = raised
+                value_to_send = yield awaited
+            except BaseException as raised_error:  # Passed on to the coroutine.
+                error = raised_error
 
     async def _run(self) -> None:
-        due = clock.now() + _LOOK_SECONDS
-        began = clock.now()
-        processor = time.process_time()
+        due = clock.now() + _CHECK_INTERVAL_SECONDS
+        period_started_at = clock.now()
+        cpu_seconds_before = time.process_time()
         while True:
             await asyncio.sleep(max(0.0, due - clock.now()))
             now = clock.now()
-            self._late = now - due
-            self._latest = max(self._latest, self._late)
-            if self._late >= _LATE_SECONDS:
-                spent = self._most_since(self._looked)
-                logs.warn("loop_late", late_s=self._late, spent=spent)
-            self._looked = self._spent()
-            if now - began >= _REPORT_SECONDS:
+            self._lateness = now - due
+            self._max_lateness = max(self._max_lateness, self._lateness)
+            if self._lateness >= _LOGGED_LATENESS_SECONDS:
+                spent = self._format_largest_since(self._at_last_check)
+                logs.warn("loop_late", late_s=self._lateness, spent=spent)
+            self._at_last_check = self._snapshot()
+            if now - period_started_at >= _REPORT_INTERVAL_SECONDS:
                 logs.event(
                     "load",
-                    seconds=now - began,
-                    processor_s=time.process_time() - processor,
-                    spent=self._most_since(self._reported),
+                    seconds=now - period_started_at,
+                    processor_s=time.process_time() - cpu_seconds_before,
+                    spent=self._format_largest_since(self._at_last_report),
                 )
-                began, processor = now, time.process_time()
-                self._reported = self._looked
-            due = now + _LOOK_SECONDS
+                period_started_at, cpu_seconds_before = now, time.process_time()
+                self._at_last_report = self._at_last_check
+            due = now + _CHECK_INTERVAL_SECONDS
 
-    def _spent(self) -> dict[str, Spent]:
+    def _snapshot(self) -> dict[str, WorkSnapshot]:
         return {
-            kind: Spent(tally.seconds, tally.count, tally.size)
+            kind: WorkSnapshot(tally.seconds, tally.count, tally.size)
             for kind, tally in self._tallies.items()
         }
 
-    def _most_since(self, before: dict[str, Spent]) -> str:
-        """Returns the kinds that took most time, as KIND:TIME/COUNT/BYTES."""
-        took = []
-        for kind, spent in self._spent().items():
-            known = before.get(kind, Spent())
-            since = (now - then for now, then in zip(spent, known, strict=True))
-            took.append((Spent(*since), kind))
-        took.sort(reverse=True)
+    def _format_largest_since(self, before: dict[str, WorkSnapshot]) -> str:
+        """Returns the kinds with most time, as KIND:TIME/COUNT/BYTES."""
+        increases = []
+        for kind, spent in self._snapshot().items():
+            previous = before.get(kind, WorkSnapshot())
+            increase = (
+                now - then for now, then in zip(spent, previous, strict=True)
+            )
+            increases.append((WorkSnapshot(*increase), kind))
+        increases.sort(reverse=True)
         return ",".join(
             f"{kind}:{spent.seconds:.3f}s/{spent.count}/{spent.size}B"
-            for spent, kind in took[:_KINDS_NAMED]
+            for spent, kind in increases[:_MAX_LOGGED_KINDS]
         )
--- a/packages/endivestream/src/endivestream/tasks.py
+++ b/packages/endivestream/src/endivestream/tasks.py
@@ -1,4 +1,4 @@
-"""How a part starts and ends its tasks."""
+"""Start and cancellation of asyncio tasks."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 def start(work: Coroutine[Any, Any, Any], name: str) -> asyncio.Task[Any]:
     """Starts a task whose failure is logged.
 
-    The library keeps the error of a task that nobody waits for to itself: a
-    host would go on without one of its parts and nothing would say so.
+    Asyncio does not report the error of a task that nobody awaits: a host would
+    continue without one of its parts, and no log line would show it.
 
     Args:
-        work: What the task does.
-        name: What to call it in the log.
+        work: The coroutine to run.
+        name: Name of the task in the log.
     """
     task = asyncio.create_task(work, name=name)
-    task.add_done_callback(_note_failure)
+    task.add_done_callback(_log_failure)
     return task
 
 
-def _note_failure(task: asyncio.Task[Any]) -> None:
+def _log_failure(task: asyncio.Task[Any]) -> None:
     if task.cancelled():
         return
     error = task.exception()
@@ -35,7 +35,7 @@
 
 
 async def cancel(tasks: Iterable[asyncio.Task[Any] | None]) -> None:
-    """Cancels tasks and waits until each has ended; None is passed over."""
+    """Cancels tasks and waits until each has ended; skips None."""
     for task in list(tasks):
         if task is not None:
             task.cancel()
--- a/tests/test_loop_meter.py
+++ b/tests/test_loop_meter.py
@@ -1,4 +1,4 @@
-"""What the event loop's time goes to."""
+"""Tests for the measurement of event loop time and lateness."""
 
 import asyncio
 import unittest
@@ -18,8 +18,8 @@
         )
         self.meter = loop_meter.LoopMeter()
 
-    async def test_waiting_for_an_answer_is_not_counted_as_work(self):
-        """Work of the loop is told apart from time spent waiting."""
+    async def test_waiting_is_not_counted_as_work(self):
+        """Event loop time of a coroutine excludes the time that it waits."""
         answered = asyncio.Event()
 
         async def handle():
@@ -37,14 +37,14 @@
         self.assertEqual((tally.count, tally.seconds), (1, 0.75))
         self.assertEqual(tally.longest, 0.5)
 
-    async def test_errors_and_cancellation_reach_the_work(self):
-        seen = []
+    async def test_errors_and_cancellation_reach_the_coroutine(self):
+        errors = []
 
         async def handle(wait):
             try:
                 await wait
             except asyncio.CancelledError:
-                seen.append("cancelled")
+                errors.append("cancelled")
                 raise
             raise ValueError("broken")
 
@@ -57,37 +57,39 @@
         running.cancel()
         with self.assertRaises(asyncio.CancelledError):
             await running
-        self.assertEqual(seen, ["cancelled"])
+        self.assertEqual(errors, ["cancelled"])
 
-    async def test_a_late_loop_names_what_held_it_up(self):
-        """A busy process can be told from a lost one by its own log."""
-        said = []
+    async def test_late_loop_logs_the_kind_of_work(self):
+        """The log must distinguish a busy process from an unreachable one."""
+        warnings = []
         self.enterContext(
             mock.patch.object(
-                logs, "warn", lambda name, **fields: said.append((name, fields))
+                logs,
+                "warn",
+                lambda name, **fields: warnings.append((name, fields)),
             )
         )
-        looked = asyncio.Event()
+        checked = asyncio.Event()
 
         async def sleep(seconds):
             self.now += seconds
-            if said:
-                looked.set()
+            if warnings:
+                checked.set()
                 await asyncio.Event().wait()
             with self.meter.span("Renewed_out", size=9):
                 self.now += 0.7
 
         with mock.patch.object(loop_meter.asyncio, "sleep", sleep):
             self.meter.start()
-            await looked.wait()
+            await checked.wait()
         await self.meter.close()
-        name, fields = said[0]
+        name, fields = warnings[0]
         self.assertEqual(name, "loop_late")
         self.assertAlmostEqual(fields["late_s"], 0.7)
         self.assertEqual(fields["spent"], "Renewed_out:0.700s/1/9B")
         self.assertAlmostEqual(self.meter.latest, 0.7)
 
-    async def test_work_is_shown_as_metrics_by_kind(self):
+    async def test_work_is_exposed_as_metrics_by_kind(self):
         with self.meter.span("decode", size=120):
             self.now += 2.0
         metrics = site_metrics.ControlMetrics(
