--- a/packages/endivestream/src/endivestream/connection/exchange.py
+++ b/packages/endivestream/src/endivestream/connection/exchange.py
@@ -42,8 +42,8 @@
         sent: Whether any byte of the request may have been sent.
     """
 
-    def __init__(self, what: str, *, sent: bool) -> None:
-        super().__init__(what)
+    def __init__(self, message: str, *, sent: bool) -> None:
+        super().__init__(message)
         self.sent = sent
 
 
--- a/packages/endivestream/src/endivestream/connection/link_keys.py
+++ b/packages/endivestream/src/endivestream/connection/link_keys.py
@@ -23,7 +23,7 @@
 from endivestream import logs
 
 # A refused host retries several times a second; one log line a minute is enough
-# to notice it.
+# to find it.
 _LOG_INTERVAL_SECONDS = 60.0
 
 
--- a/packages/endivestream/src/endivestream/connection/relays.py
+++ b/packages/endivestream/src/endivestream/connection/relays.py
@@ -7,8 +7,8 @@
 pushes to the other hosts of the domain.
 
 All hosts compute the relays from the same list of entry hosts. While the lists
-differ, a host may ask one that is not a relay; it is refused, and the leader
-pushes to it directly until it finds a relay.
+differ, a host may send its request to one that is not a relay; the request is
+refused, and the leader pushes to the host directly until it finds a relay.
 """
 
 from __future__ import annotations
--- a/packages/endivestream/src/endivestream/connection/targets.py
+++ b/packages/endivestream/src/endivestream/connection/targets.py
@@ -62,35 +62,37 @@
 
     def announce(self, info: messages.TargetInfo, now: float) -> str:
         """Adds an announcement; returns why it is refused, or empty."""
-        known = self._sessions.get(info.name)
-        if known is not None:
-            if known.info.incarnation > info.incarnation:
+        current = self._sessions.get(info.name)
+        if current is not None:
+            if current.info.incarnation > info.incarnation:
                 return (
                     f"incarnation {info.incarnation} is older than "
-                    f"{known.info.incarnation}"
+                    f"{current.info.incarnation}"
                 )
-            if known.info.incarnation == info.incarnation:
+            if current.info.incarnation == info.incarnation:
                 # A resent announcement must not undo a later report.
-                self._sessions[info.name] = known._replace(info=info, heard=now)
+                self._sessions[info.name] = current._replace(
+                    info=info, heard=now
+                )
                 return ""
         self._sessions[info.name] = Session(info, None, now)
         return ""
 
     def report(self, report: messages.TargetReport, now: float) -> bool:
         """Adds a report; returns False if the target must announce itself."""
-        known = self._sessions.get(report.name)
-        if known is None or known.info.incarnation < report.incarnation:
+        current = self._sessions.get(report.name)
+        if current is None or current.info.incarnation < report.incarnation:
             return False
-        if known.info.incarnation > report.incarnation:
+        if current.info.incarnation > report.incarnation:
             # Late report of an earlier incarnation; the current one sends its
             # own reports.
             return True
         if (
-            known.report is not None
-            and report.sequence <= known.report.sequence
+            current.report is not None
+            and report.sequence <= current.report.sequence
         ):
             return True
-        self._sessions[report.name] = known._replace(report=report, heard=now)
+        self._sessions[report.name] = current._replace(report=report, heard=now)
         return True
 
     def hold_back(self, name: str, draining: bool) -> bool:
--- a/packages/endivestream/src/endivestream/connection/watch.py
+++ b/packages/endivestream/src/endivestream/connection/watch.py
@@ -111,7 +111,7 @@
         self._renewal_requested.set()
 
     async def tell(self, message: messages.Message) -> None:
-        """Sends the leader, if it is known, a message that is not answered."""
+        """Sends the leader, if it is known, a message without an answer."""
         if self._leader:
             await self._link(self._leader).send(message)
 
@@ -177,8 +177,8 @@
         """Sends a renewal to one control host.
 
         Returns:
-            Its address if it leads, that of the leader if it knows another one,
-            else an empty string.
+            Its address if it leads, another host's if it returned that one as
+            the leader's, else an empty string.
         """
         sent_at = clock.now()
         try:
