--- a/packages/endivestream/src/endivestream/process/credit_questions.py
+++ b/packages/endivestream/src/endivestream/process/credit_questions.py
@@ -1,11 +1,11 @@
-"""One entry host's questions about credit, gathered into few messages.
-
-The load pattern that it answers: a team asks for many times its rate, no host
-holds credit of it, and each of its requests asks the leader. A message for
-each would be more than the leader can read, and it would answer nobody. So
-only a few messages are under way at a time, and what is asked meanwhile goes
-along with the next: a question alone leaves at once, and the slower the leader
-is, the more share a message.
+"""Batches an entry host's credit requests to the leader.
+
+This bounds the load on the leader when a team sends many times its rate: no
+host holds credit for the team, and each of its requests needs credit from the
+leader. With one message for each, the leader could not keep up and would
+answer none. Therefore only a few messages are in flight at a time, and credit
+requests made meanwhile are batched into the next one. A single credit request
+is sent immediately; the slower the leader, the larger the batches.
 """
 
 from __future__ import annotations
@@ -18,88 +18,91 @@
 from endivestream import tasks
 from endivestream.connection import watch as watch_lib
 
-# A leader answers about credit within a few milliseconds.
-_ANSWER_SECONDS = 0.25
-# Messages under way at a time: a lost one must not hold up all others.
-_UNDER_WAY = 2
-# Questions in a message.
-_MOST_ASKED = 64
+# A leader answers credit requests within a few milliseconds.
+_TIMEOUT_SECONDS = 0.25
+# Maximum number of messages in flight. More than one, so that a lost message
+# does not delay all others.
+_MAX_IN_FLIGHT = 2
+# Maximum number of credit requests in a message.
+_MAX_BATCH_SIZE = 64
 
 
 @dataclasses.dataclass(kw_only=True)
-class _Question:
-    """A question that waits for its answer.
+class _PendingRequest:
+    """A credit request that waits for its answer.
 
     Attributes:
-        asked: What is asked for.
-        answer: The grant; None without an answer.
+        wanted: The requested credit.
+        answer: Set to the grant, or to None if the leader did not answer.
     """
 
-    asked: site_messages.CreditAsk
+    wanted: site_messages.CreditAsk
     answer: asyncio.Future[site_messages.Grant | None]
 
 
-class CreditQuestions:
-    """Questions to the leader. Lives as long as the process."""
+class CreditRequester:
+    """Sends credit requests to the leader, created once at process start."""
 
     def __init__(
         self,
         *,
         watch: watch_lib.Watch,
         host: str,
-        unclaimed: Callable[[site_messages.Grant], None],
+        on_unclaimed: Callable[[site_messages.Grant], None],
     ) -> None:
-        """Asks nothing yet.
+        """Sends no request yet.
 
         Args:
             watch: The session with the leader.
             host: This host's name.
-            unclaimed: Takes a grant whose request has gone meanwhile.
+            on_unclaimed: Called with a grant whose credit request was
+                cancelled before the answer arrived.
         """
         self._watch = watch
         self._host = host
-        self._unclaimed = unclaimed
-        self._waiting: list[_Question] = []
-        self._under_way: set[asyncio.Task[None]] = set()
+        self._on_unclaimed = on_unclaimed
+        self._queue: list[_PendingRequest] = []
+        self._in_flight: set[asyncio.Task[None]] = set()
 
-    async def ask(
-        self, asked: site_messages.CreditAsk
+    async def request(
+        self, wanted: site_messages.CreditAsk
     ) -> site_messages.Grant | None:
-        """Asks for credit; None without an answer."""
+        """Requests credit; returns None if the leader did not answer."""
         answer = asyncio.get_running_loop().create_future()
-        self._waiting.append(_Question(asked=asked, answer=answer))
-        self._send()
+        self._queue.append(_PendingRequest(wanted=wanted, answer=answer))
+        self._send_batches()
         return await answer
 
-    def _send(self) -> None:
-        while self._waiting and len(self._under_way) < _UNDER_WAY:
-            questions = self._waiting[:_MOST_ASKED]
-            del self._waiting[:_MOST_ASKED]
-            task = tasks.start(self._exchange(questions), "credit")
-            self._under_way.add(task)
-            task.add_done_callback(self._over)
+    def _send_batches(self) -> None:
+        while self._queue and len(self._in_flight) < _MAX_IN_FLIGHT:
+            batch = self._queue[:_MAX_BATCH_SIZE]
+            del self._queue[:_MAX_BATCH_SIZE]
+            task = tasks.start(self._exchange(batch), "credit")
+            self._in_flight.add(task)
+            task.add_done_callback(self._on_exchange_done)
 
-    def _over(self, task: asyncio.Task[None]) -> None:
-        self._under_way.discard(task)
+    def _on_exchange_done(self, task: asyncio.Task[None]) -> None:
+        self._in_flight.discard(task)
         if not task.cancelled():
-            self._send()
+            self._send_batches()
 
-    async def _exchange(self, questions: list[_Question]) -> None:
+    async def _exchange(self, batch: list[_PendingRequest]) -> None:
         message = site_messages.AskCredit(
-            host=self._host, asked=tuple(each.asked for each in questions)
+            host=self._host,
+            asked=tuple(request.wanted for request in batch),
         )
-        answer = await self._watch.ask(message, seconds=_ANSWER_SECONDS)
+        answer = await self._watch.ask(message, seconds=_TIMEOUT_SECONDS)
         grants: tuple[site_messages.Grant | None, ...] = ()
         if isinstance(answer, site_messages.GiveCredit):
             grants = answer.grants
-        if len(grants) != len(questions):
-            grants = (None,) * len(questions)
-        for question, grant in zip(questions, grants, strict=True):
-            if not question.answer.done():
-                question.answer.set_result(grant)
+        if len(grants) != len(batch):
+            grants = (None,) * len(batch)
+        for pending, grant in zip(batch, grants, strict=True):
+            if not pending.answer.done():
+                pending.answer.set_result(grant)
             elif grant is not None:
-                self._unclaimed(grant)
+                self._on_unclaimed(grant)
 
     async def close(self) -> None:
-        """Ends what is under way."""
-        await tasks.cancel(list(self._under_way))
+        """Cancels the messages in flight."""
+        await tasks.cancel(list(self._in_flight))
--- a/packages/endivestream/src/endivestream/process/entry.py
+++ b/packages/endivestream/src/endivestream/process/entry.py
@@ -1,8 +1,9 @@
-"""An entry host of a site: serves callers from what the leader has told.
+"""Entry host of a site: serves callers from replicated control state.
 
-It decides alone. Configuration, targets and credit come by `connection.watch`;
-a request then takes `request.forward` without asking anyone. Without word of a
-leader it goes on until its lease ends, and then refuses.
+Configuration, targets and credit are received through `connection.watch`.
+Requests are then served by `request.forward` from this local state, without a
+query to another host. While no leader can be reached, the host goes on serving
+until its configuration lease expires, and then refuses requests.
 """
 
 from __future__ import annotations
@@ -49,27 +50,29 @@
 from endivestream.request import unserved as unserved_lib
 from endivestream.version import document as document_lib
 
-# What callers are told of entry hosts: at least so many, from other failure
-# domains if need be, so that one loss leaves them another.
-_LEAST_ADDRESSES = 2
-# Target that a complete table no longer names: kept for so long, in case the
-# way from it to the control hosts is cut and the way to us is not.
-_UNNAMED_SECONDS = 20.0
-# Before the kill that follows a stop: what still runs then is broken off by
-# us, with an end that callers understand.
+# Minimum number of entry hosts in an address list. Hosts of other failure
+# domains are added if needed, so that callers have another one when one fails.
+_MIN_ADDRESSES = 2
+# How long a target is kept after a complete table no longer lists it: its
+# connection to the control hosts may be cut while the one to this host works.
+_UNLISTED_TARGET_SECONDS = 20.0
+# Time before the end of the drain period, after which the process is killed.
+# Requests still running then are ended by this host, with a response that
+# callers can interpret.
 _STOP_MARGIN_SECONDS = 0.35
 _DRAIN_POLL_SECONDS = 0.05
-# Of that margin, for the final answers of what still runs then to leave.
-_LAST_ANSWERS_SECONDS = 0.15
-# A stopping host takes no new streams once less than this part of its grace is
-# left, and no other requests in the last part: what it takes, it must finish.
-# Long streams take five seconds.
-_STREAM_GRACE = 0.65
-_OTHER_GRACE = 0.25
+# Part of that margin in which the last responses are written.
+_FINAL_RESPONSES_SECONDS = 0.15
+# A draining host must finish each request that it accepts. It accepts new
+# streams only while at least this share of its drain period remains, and other
+# requests only while at least the second share does. Long streams take five
+# seconds.
+_STREAM_GRACE_SHARE = 0.65
+_OTHER_GRACE_SHARE = 0.25
 
 
 class Entry:
-    """One entry host. Lives as long as the process."""
+    """The services of one entry host, created once when the process starts."""
 
     def __init__(
         self,
@@ -88,23 +91,23 @@
         self._allowance = allowance_lib.Allowance()
         self._table: routes_lib.Table | None = None
         self._position = site_messages.Position()
-        self._entries: tuple[site_messages.EntryHost, ...] = ()
-        self._unnamed: dict[str, float] = {}
+        self._entry_hosts: tuple[site_messages.EntryHost, ...] = ()
+        self._unlisted_since: dict[str, float] = {}
         self._demand = demand_lib.Meters(now=clock.now())
         self._unserved = unserved_lib.Unserved()
-        self._waiting: dict[tuple[str, str, str], list[float]] = {}
-        self._changed = asyncio.Event()
+        self._waiting_objectives: dict[tuple[str, str, str], list[float]] = {}
+        self._change_event = asyncio.Event()
         self._draining = False
-        self._leased_until = -math.inf
-        self._ends = math.inf
+        self._previous_lease_until = -math.inf
+        self._drain_deadline = math.inf
         self._incarnation = time.time_ns() // 1_000_000
         self._watch = watch_lib.Watch(
             controls=settings.controls,
             context=self._context,
             every=settings.renew_seconds,
-            renewal=self._renewal,
-            on_renewed=self._renewed,
-            on_push=self._take_leader_push,
+            renewal=self._build_renewal,
+            on_renewed=self._apply_renewal,
+            on_push=self._on_leader_push,
             meter=self._meter,
         )
         self._turn_desk = turn_desk.TurnDesk(
@@ -114,7 +117,7 @@
             host=settings.name,
             domain=settings.domain,
             context=self._context,
-            on_push=self._take_push,
+            on_push=self._apply_push,
             changed=self._watch.poke,
             has_lease=lambda: self._watch.lease_until > clock.now(),
             meter=self._meter,
@@ -143,13 +146,13 @@
             names=names,
             table=lambda: self._table,
             lease_until=lambda: self._watch.lease_until,
-            share=lambda: 1 / max(1, len(self._entries)),
-            takes=self._takes,
+            share=lambda: 1 / max(1, len(self._entry_hosts)),
+            takes=self._accepts,
         )
         self._freshness = freshness_lib.Freshness(
             watch=self._watch,
             version=lambda: self.version,
-            changed=self._wait_for_change,
+            wait_for_change=self._wait_for_change,
         )
         self._credit = entry_credit.EntryCredit(
             allowance=self._allowance,
@@ -165,12 +168,12 @@
             pool=self._pool,
             credit=self._credit,
             repeats=self._repeats.budget,
-            ask_repeat=self._repeats.ask,
-            missing=self._missing,
+            ask_repeat=self._repeats.request,
+            missing=self._report_missing,
             changed=self._wait_for_change,
             confirm=self._freshness.confirm,
-            asked=self._count,
-            found=self._found,
+            asked=self._count_demand,
+            found=self._on_target_found,
             idle=self._watch.poke,
             freed=self._signal_change,
             heard_limit=self._rate_limits.heard,
@@ -181,11 +184,11 @@
         self._forwarder = forward_lib.Forwarder(parts=parts)
         self._front = call_lib.Front(serve=self._forwarder.serve, now=clock.now)
         self._server: httpserver.HTTPServer | None = None
-        self._telling: set[asyncio.Task[None]] = set()
+        self._background_tasks: set[asyncio.Task[None]] = set()
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers should connect here."""
+        """Whether callers should connect to this host."""
         return (
             not self._draining
             and self._table is not None
@@ -194,32 +197,35 @@
 
     @property
     def metrics(self) -> site_metrics.EntryMetrics:
-        """What this host counts."""
+        """The metrics of this entry host."""
         return self._metrics
 
     @property
     def running(self) -> int:
-        """Requests under way."""
+        """The number of requests in progress."""
         return self._front.running
 
     @property
     def version(self) -> int:
-        """The configuration version in force here; 0 before the first."""
+        """The configuration version in force on this host; 0 before any."""
         return self._table.document.version if self._table else 0
 
     def addresses(self, domain: str) -> list[str]:
-        """Returns where callers of a failure domain should connect.
+        """Returns the addresses to which callers of a failure domain connect.
 
-        Hosts of their own domain; with too few of these, all others too.
+        These are the hosts of their own domain, or all hosts if there are too
+        few of these. Draining hosts are left out.
         """
-        live = [host for host in self._entries if not host.draining]
-        near = [host.address for host in live if host.domain == domain]
-        if len(near) >= _LEAST_ADDRESSES:
-            return near
-        return [host.address for host in live]
+        available = [host for host in self._entry_hosts if not host.draining]
+        same_domain = [
+            host.address for host in available if host.domain == domain
+        ]
+        if len(same_domain) >= _MIN_ADDRESSES:
+            return same_domain
+        return [host.address for host in available]
 
     def start(self) -> None:
-        """Listens for callers and looks for the leader.
+        """Starts to listen for callers and to search for the leader.
 
         Raises:
             OSError: The address cannot be used.
@@ -242,41 +248,47 @@
         self._watch.start()
 
     def set_controls(self, controls: Sequence[str]) -> None:
-        """Takes over the control hosts that changed settings name."""
+        """Replaces the addresses of control hosts after changed settings."""
         self._watch.set_seeds(controls)
 
     async def drain(self) -> None:
-        """Stops without cutting a request.
+        """Drains the host, so that its requests can finish before it stops.
 
-        The host leaves the answer that callers get, serves those that still
-        come, and ends when their answers are surely stale.
+        The host is removed from the address lists that callers get, and goes
+        on serving callers whose lists still contain it. It returns when these
+        lists have expired and no request is running, or shortly before the end
+        of the drain period.
         """
-        begun = clock.now()
-        until = begun + self._settings.bounds.grace - _STOP_MARGIN_SECONDS
+        started_at = clock.now()
+        deadline = (
+            started_at + self._settings.bounds.grace - _STOP_MARGIN_SECONDS
+        )
         self._draining = True
-        self._ends = until
+        self._drain_deadline = deadline
         self._watch.poke()
         if self._server is not None:
-            # Callers on open connections learn with their next answer.
+            # Responses on open connections tell callers to close them.
             self._server.conn_params.no_keep_alive = True
-        stale = min(until, begun + 3 * self._settings.address_seconds)
-        while clock.now() < until:
+        addresses_expire_at = min(
+            deadline, started_at + 3 * self._settings.address_seconds
+        )
+        while clock.now() < deadline:
             await asyncio.sleep(_DRAIN_POLL_SECONDS)
             self._forwarder.stop_waiting()
-            if clock.now() >= stale and not self._front.running:
+            if clock.now() >= addresses_expire_at and not self._front.running:
                 break
         self._forwarder.stop_all()
-        answered = clock.now() + _LAST_ANSWERS_SECONDS
-        while self._front.running and clock.now() < answered:
+        response_deadline = clock.now() + _FINAL_RESPONSES_SECONDS
+        while self._front.running and clock.now() < response_deadline:
             await asyncio.sleep(_DRAIN_POLL_SECONDS / 5)
         logs.event(
             "drained",
-            seconds=clock.now() - begun,
+            seconds=clock.now() - started_at,
             running=self._front.running,
         )
 
     async def close(self) -> None:
-        """Closes everything; requests under way are broken off."""
+        """Closes all services and connections; aborts running requests."""
         if self._server is not None:
             self._server.stop()
         await self._freshness.close()
@@ -287,24 +299,24 @@
         if self._peer_server is not None:
             await self._peer_server.close()
         await self._meter.close()
-        await tasks.cancel(list(self._telling))
+        await tasks.cancel(list(self._background_tasks))
         self._pool.close()
         self._context.destroy(linger=0)
 
-    # What the leader says.
+    # Exchange with the leader.
 
-    def _renewal(self, is_new_leader: bool) -> site_messages.Renew:
+    def _build_renewal(self, is_new_leader: bool) -> site_messages.Renew:
         now = clock.now()
         rates = self._demand.rates(now)
         demand = tuple(
             site_messages.Demand(
                 *key,
                 rates.get(key, 0.0),
-                len(self._waiting.get(key, ())),
-                min(self._waiting.get(key) or [0.0]),
+                len(self._waiting_objectives.get(key, ())),
+                min(self._waiting_objectives.get(key) or [0.0]),
                 round(self._unserved.seconds(key, now), 1),
             )
-            for key in {*rates, *self._waiting}
+            for key in {*rates, *self._waiting_objectives}
         )
         return site_messages.Renew(
             host=site_messages.EntryHost(
@@ -326,14 +338,14 @@
             limits=self._rate_limits.report(everything=is_new_leader),
         )
 
-    def _take_leader_push(self, message: messages.Message) -> None:
+    def _on_leader_push(self, message: messages.Message) -> None:
         """Handles a push from the leader and forwards it to followers."""
         followers = self._push_relay.followers
         if followers and self._peer_server is not None:
             self._run_in_background(self._peer_server.push(followers, message))
-        self._take_push(message)
+        self._apply_push(message)
 
-    def _take_push(self, message: messages.Message) -> None:
+    def _apply_push(self, message: messages.Message) -> None:
         match message:
             case site_messages.News():
                 self._take_news(message)
@@ -351,7 +363,7 @@
         logs.warn("unexpected", message=type(message).__name__, peer=peer.hex())
         return None
 
-    def _renewed(self, renewed: site_messages.Renewed) -> None:
+    def _apply_renewal(self, renewed: site_messages.Renewed) -> None:
         now = clock.now()
         self._allowance.heard_leader(now)
         self._rate_limits.reported()
@@ -361,23 +373,24 @@
             self._take_news(renewed.news)
         if renewed.loads is not None:
             self._view.set_loads(renewed.loads, now)
-        self._drop_unnamed(now)
-        if self._leased_until < now:
-            # Requests wait for the lease.
+        self._drop_unlisted(now)
+        if self._previous_lease_until < now:
+            # The lease had expired, and requests wait for a new one.
             self._signal_change()
-        self._leased_until = self._watch.lease_until
+        self._previous_lease_until = self._watch.lease_until
 
     def _take_news(self, news: site_messages.News) -> None:
         self._rate_limits.merge(news.limits)
         before = self.version, self._position
         if news.document is not None:
-            self._take_document(news.document)
-        self._take_table(news)
-        leaving = news.gone or any(t.said.draining for t in news.targets)
-        waits = leaving or news.document is not None
-        if waits and before != (self.version, self._position):
-            # Whoever asked for this change waits until all hosts have it.
-            self._tell(
+            self._apply_document(news.document)
+        self._apply_table(news)
+        has_departures = news.gone or any(t.said.draining for t in news.targets)
+        needs_confirmation = has_departures or news.document is not None
+        if needs_confirmation and before != (self.version, self._position):
+            # The change is acknowledged to its author or target only after
+            # all hosts have confirmed it.
+            self._send_to_leader(
                 site_messages.Confirm(
                     host=self._settings.name,
                     version=self.version,
@@ -385,29 +398,29 @@
                 )
             )
 
-    def _take_table(self, news: site_messages.News) -> None:
+    def _apply_table(self, news: site_messages.News) -> None:
         if news.position <= self._position:
-            # A renewal's answer has overtaken it.
+            # A later update arrived first, with the answer to a renewal.
             return
-        if news.after is not None and not self._reaches(news.after):
-            # Something between was lost; the next renewal brings it.
+        if news.after is not None and not self._has_reached(news.after):
+            # An update in between was lost. The next renewal fetches it.
             self._watch.poke()
             return
         self._position = news.position
-        gone = list(news.gone)
+        removed = list(news.gone)
         if news.after is None and news.complete:
-            named = {target.said.name for target in news.targets}
+            listed = {target.said.name for target in news.targets}
             now = clock.now()
-            for name in self._view.targets.keys() - named:
-                self._unnamed.setdefault(name, now)
-            for name in named:
-                self._unnamed.pop(name, None)
+            for name in self._view.targets.keys() - listed:
+                self._unlisted_since.setdefault(name, now)
+            for name in listed:
+                self._unlisted_since.pop(name, None)
         for target in news.targets:
-            self._unnamed.pop(target.said.name, None)
-        self._view.set_targets(news.targets, gone, clock.now())
+            self._unlisted_since.pop(target.said.name, None)
+        self._view.set_targets(news.targets, removed, clock.now())
         self._limits.forget(self._view.targets.keys(), clock.now())
         if news.entries is not None:
-            self._entries = news.entries
+            self._entry_hosts = news.entries
             self._turn_desk.set_hosts(news.entries)
             self._push_relay.set_hosts(news.entries)
             self._view.set_hosts(len(news.entries))
@@ -415,14 +428,14 @@
             self._repeats.set_hosts(len(news.entries))
         self._signal_change()
 
-    def _reaches(self, after: site_messages.Position) -> bool:
-        """Whether this host's table is at least that far."""
+    def _has_reached(self, after: site_messages.Position) -> bool:
+        """Returns whether this host's table includes a position."""
         return (
             after.term == self._position.term
             and after.number <= self._position.number
         )
 
-    def _take_document(self, document: document_lib.Document) -> None:
+    def _apply_document(self, document: document_lib.Document) -> None:
         if document.version <= self.version:
             return
         self._table = routes_lib.Table(document=document)
@@ -439,54 +452,64 @@
             params.header_timeout = limits.idle_seconds
         self._signal_change()
 
-    def _drop_unnamed(self, now: float) -> None:
-        old = [
-            n for n, t in self._unnamed.items() if now - t > _UNNAMED_SECONDS
+    def _drop_unlisted(self, now: float) -> None:
+        expired = [
+            n
+            for n, t in self._unlisted_since.items()
+            if now - t > _UNLISTED_TARGET_SECONDS
         ]
-        for name in old:
-            del self._unnamed[name]
-        if old:
-            self._view.set_targets((), old, now)
+        for name in expired:
+            del self._unlisted_since[name]
+        if expired:
+            self._view.set_targets((), expired, now)
 
     def _signal_change(self) -> None:
-        self._changed.set()
-        self._changed = asyncio.Event()
+        self._change_event.set()
+        self._change_event = asyncio.Event()
 
     async def _wait_for_change(self, seconds: float) -> None:
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
-                await self._changed.wait()
+                await self._change_event.wait()
 
-    # What requests ask for.
+    # Callbacks of requests.
 
-    def _takes(self, kind: document_lib.Kind) -> bool:
+    def _accepts(self, kind: document_lib.Kind) -> bool:
         is_stream = kind == document_lib.Kind.STREAM
-        share = _STREAM_GRACE if is_stream else _OTHER_GRACE
-        return self._ends - clock.now() > share * self._settings.bounds.grace
+        share = _STREAM_GRACE_SHARE if is_stream else _OTHER_GRACE_SHARE
+        return (
+            self._drain_deadline - clock.now()
+            > share * self._settings.bounds.grace
+        )
 
-    def _count(self, work: admission.Work) -> None:
+    def _count_demand(self, work: admission.Work) -> None:
         if work.model and work.service.engine is not None:
             key = (work.service.name, work.model, work.adapter)
             self._demand.count(key, clock.now())
 
-    def _found(self, work: admission.Work) -> None:
+    def _on_target_found(self, work: admission.Work) -> None:
         self._unserved.served((work.service.name, work.model, work.adapter))
 
-    def _missing(self, work: admission.Work) -> Callable[[], None]:
-        """Tells the leader that a request waits; returns what ends that."""
+    def _report_missing(self, work: admission.Work) -> Callable[[], None]:
+        """Reports to the leader that a request waits for a model.
+
+        Returns:
+            A function to call when the request no longer waits.
+        """
         key = (work.service.name, work.model, work.adapter)
         now = clock.now()
         self._unserved.missed(key, now)
-        waiting = self._waiting.setdefault(key, [])
+        waiting = self._waiting_objectives.setdefault(key, [])
         waiting.append(work.route.objective)
         if len(waiting) == 1:
-            # At once: the next renewal would cost a third of a second.
+            # Sent immediately: waiting for the next renewal would take a third
+            # of a second.
             rate = self._demand.rates(now).get(key, 0.0)
             unserved = self._unserved.seconds(key, now)
             demand = site_messages.Demand(
                 *key, rate, 1, work.route.objective, unserved
             )
-            self._tell(
+            self._send_to_leader(
                 site_messages.Missing(
                     host=self._settings.name, demand=(demand,)
                 )
@@ -495,16 +518,16 @@
         def stop() -> None:
             waiting.remove(work.route.objective)
             if not waiting:
-                self._waiting.pop(key, None)
+                self._waiting_objectives.pop(key, None)
 
         return stop
 
-    def _tell(self, message: site_messages.Message) -> None:
+    def _send_to_leader(self, message: site_messages.Message) -> None:
         self._run_in_background(self._watch.tell(message))
 
     def _run_in_background(
         self, coroutine: Coroutine[object, object, None]
     ) -> None:
         task = asyncio.create_task(coroutine)
-        self._telling.add(task)
-        task.add_done_callback(self._telling.discard)
+        self._background_tasks.add(task)
+        task.add_done_callback(self._background_tasks.discard)
--- a/packages/endivestream/src/endivestream/process/entry_credit.py
+++ b/packages/endivestream/src/endivestream/process/entry_credit.py
@@ -1,4 +1,4 @@
-"""Credit for one request, from this host's portions or from the leader."""
+"""Takes requests' credit from this host's credit share or the leader."""
 
 from __future__ import annotations
 
@@ -12,18 +12,20 @@
 from endivestream.request import forward_parts
 from endivestream.version import document as document_lib
 
-# A caller that nobody answered about credit comes back after so long.
-_COME_BACK_SECONDS = 0.25
-# Before a leader that did not answer is asked again.
-_ASK_AGAIN_SECONDS = 0.05
-# A leader that has not answered a renewal for so long may have been replaced.
-# Its successor starts without credit, and a promise of the old leader beside
-# that would give the same refill twice.
-_PROMISE_SECONDS = 0.6
+# Suggested to a caller as the time until a retry if no leader answered its
+# credit request.
+_RETRY_AFTER_SECONDS = 0.25
+# Delay before a credit request is sent again to a leader that did not answer.
+_RESEND_DELAY_SECONDS = 0.05
+# A leader that has not answered a renewal for this long may have been
+# replaced. Its successor starts without credit. If a reservation granted by
+# the old leader remained valid beside that, the same refill would be spent
+# twice.
+_RESERVATION_VALID_SECONDS = 0.6
 
 
 class EntryCredit(forward_parts.Credit):
-    """Teams' credit on one entry host. Lives as long as the process."""
+    """Teams' credit on one entry host, created once at process start."""
 
     def __init__(
         self,
@@ -33,8 +35,8 @@
         host: str,
     ) -> None:
         self._allowance = allowance
-        self._questions = credit_questions.CreditQuestions(
-            watch=watch, host=host, unclaimed=self._unclaimed
+        self._credit_requester = credit_questions.CreditRequester(
+            watch=watch, host=host, on_unclaimed=self._return_unclaimed
         )
 
     async def take(
@@ -45,88 +47,103 @@
         soon: float,
         patience: float,
     ) -> float | None:
-        """Takes credit, waiting for it in the team's line if that pays."""
+        """Takes credit, waiting in the team's reservation queue if useful.
+
+        Args:
+            team: The team of the request.
+            cost: The request's cost.
+            soon: Seconds that the request can wait and still be in time.
+            patience: Seconds for which the request may wait.
+
+        Returns:
+            None if the credit was taken, else the seconds after which the
+            caller may retry.
+        """
         allowance = self._allowance
         allowance.ask(team.name, cost)
         if cost > team.burst:
-            # It would never fit, however long it waits.
+            # The balance never reaches this cost, however long the wait.
             return max(1.0, cost / team.rate)
-        until = clock.now() + patience
-        in_time = clock.now() + soon
-        unanswered_until = until + patience
+        deadline = clock.now() + patience
+        soon_deadline = clock.now() + soon
+        resend_deadline = deadline + patience
         while not allowance.spend(team.name, cost, clock.now()):
             now = clock.now()
-            left = max(0.0, until - now)
-            if allowance.short_for(team.name, now) > left:
-                # Asking is of no use before the leader's line is shorter.
+            remaining = max(0.0, deadline - now)
+            if allowance.short_for(team.name, now) > remaining:
+                # The leader's reservation queue is too long: a credit request
+                # would not be granted in time.
                 return allowance.told_for(team.name, now)
-            grant = await self._ask(
-                team.name, cost, soon=max(0.0, in_time - now), patience=left
+            grant = await self._request_credit(
+                team.name,
+                cost,
+                soon=max(0.0, soon_deadline - now),
+                patience=remaining,
             )
             if grant is None:
-                # Nobody has said that the team is over its rate. Over a link
-                # that loses packets the next answer comes in time more often
-                # than not.
-                if clock.now() < unanswered_until:
+                # Without an answer it is unknown whether the team is over its
+                # rate. Over a link that loses packets, the answer to a second
+                # request usually arrives in time.
+                if clock.now() < resend_deadline:
                     continue
-                return _COME_BACK_SECONDS
-            if grant.after and await self._matured(grant):
+                return _RETRY_AFTER_SECONDS
+            if grant.after and await self._wait_for_reservation(grant):
                 return None
             if grant.short:
                 return max(grant.short, grant.told)
         return None
 
-    async def _ask(
+    async def _request_credit(
         self, team: str, cost: float, *, soon: float, patience: float
     ) -> site_messages.Grant | None:
-        """Asks the leader for credit; None without an answer."""
+        """Requests credit from the leader; None if it did not answer."""
         balance = self._allowance.balance(team)
         need = site_messages.Need(team, 0.0, balance, cost)
-        grant = await self._questions.ask(
+        grant = await self._credit_requester.request(
             site_messages.CreditAsk(need, soon, patience)
         )
         if grant is None:
-            # Without a leader the answer is there at once.
-            await asyncio.sleep(_ASK_AGAIN_SECONDS)
+            # Without a leader, the call above returns immediately.
+            await asyncio.sleep(_RESEND_DELAY_SECONDS)
             return None
-        kept = grant._replace(credit=0.0) if grant.after else grant
-        self._allowance.take(kept, clock.now())
+        immediate_grant = grant._replace(credit=0.0) if grant.after else grant
+        self._allowance.take(immediate_grant, clock.now())
         return grant
 
-    def _unclaimed(self, grant: site_messages.Grant) -> None:
-        """Keeps the credit of a request whose caller has left."""
+    def _return_unclaimed(self, grant: site_messages.Grant) -> None:
+        """Returns to the team the credit of a disconnected caller's request."""
         if grant.after:
             loop = asyncio.get_running_loop()
-            loop.call_later(grant.after, self._keep, grant)
+            loop.call_later(grant.after, self._return_reserved, grant)
         else:
             self._allowance.take(grant, clock.now())
 
-    async def _matured(self, grant: site_messages.Grant) -> bool:
-        """Waits for promised credit; False if the promise does not hold."""
-        due = clock.now() + grant.after
+    async def _wait_for_reservation(self, grant: site_messages.Grant) -> bool:
+        """Waits for reserved credit; returns whether it is still valid."""
+        due_at = clock.now() + grant.after
         try:
             await asyncio.sleep(grant.after)
         except asyncio.CancelledError:
-            # Its caller has left. The credit is the team's, but not before it
-            # is due.
+            # The caller has disconnected. The credit is returned to the team,
+            # but not before it is due.
             asyncio.get_running_loop().call_later(
-                max(0.0, due - clock.now()), self._keep, grant
+                max(0.0, due_at - clock.now()), self._return_reserved, grant
             )
             raise
-        return self._holds()
+        return self._is_reservation_valid()
 
-    def _keep(self, grant: site_messages.Grant) -> None:
-        if self._holds():
+    def _return_reserved(self, grant: site_messages.Grant) -> None:
+        if self._is_reservation_valid():
             self._allowance.refund(grant.team, grant.credit)
 
-    def _holds(self) -> bool:
-        """Whether the leader that promised surely leads."""
-        return clock.now() - self._allowance.heard <= _PROMISE_SECONDS
+    def _is_reservation_valid(self) -> bool:
+        """Returns whether the leader that made the reservation still leads."""
+        return clock.now() - self._allowance.heard <= _RESERVATION_VALID_SECONDS
 
     async def close(self) -> None:
-        """Ends questions under way."""
-        await self._questions.close()
+        """Cancels credit requests in flight."""
+        await self._credit_requester.close()
 
     def refund(self, team: document_lib.Team, cost: float) -> None:
-        """Gives back the credit of a request that has not run."""
+        """Returns the credit of a request that was not run."""
         self._allowance.refund(team.name, cost)
--- a/packages/endivestream/src/endivestream/process/entry_rate_limits.py
+++ b/packages/endivestream/src/endivestream/process/entry_rate_limits.py
@@ -1,4 +1,4 @@
-"""Sends of one entry host to targets that name a limit."""
+"""Keeps an entry host's sends within the rate limits that targets name."""
 
 from __future__ import annotations
 
@@ -16,23 +16,25 @@
 from endivestream.request import send_slots
 
 # A leader answers within a few milliseconds.
-_ANSWER_SECONDS = 0.15
-# Without an answer the target is left alone for so long.
-_UNANSWERED_SECONDS = 0.25
-# A send that is made so much later than granted may fall together with those
-# granted after it, and is asked for anew. The host was suspended meanwhile.
-_LATE_SECONDS = 0.3
-# A limit that changes by less than this part is told with the next renewal, as
-# are changes that follow another one within this time.
-_SMALL_CHANGE = 0.1
-_TELL_SECONDS = 0.1
+_TIMEOUT_SECONDS = 0.15
+# Time until the next send to a target after the leader did not answer.
+_UNANSWERED_BACKOFF_SECONDS = 0.25
+# A send that is delayed beyond its granted moment by more than this may
+# coincide with sends granted after it, and is requested again. Such a delay
+# occurs when the host was suspended.
+_MAX_DELAY_SECONDS = 0.3
+# A change of a limit by less than this share is reported with the next
+# renewal. So is a change within the following time after the last one that was
+# reported immediately.
+_SMALL_CHANGE_SHARE = 0.1
+_MIN_NOTIFY_INTERVAL_SECONDS = 0.1
 
 
 class EntryRateLimits:
-    """What this host knows of targets' limits, and how it keeps them.
+    """Rate limits of targets, as received here, and the sends they permit.
 
-    Lives as long as the process. Without a leader nothing goes to a limited
-    target beyond this host's own share.
+    Created once when the process starts. Without a leader, this host sends a
+    limited target only its own share of the limit.
     """
 
     def __init__(
@@ -42,75 +44,76 @@
         watch: watch_lib.Watch,
         changed: Callable[[], None],
     ) -> None:
-        """Knows no limit yet.
+        """Starts without any limits.
 
         Args:
-            limits: The limits, shared with the choice of targets.
+            limits: The limits, shared with the selection of targets.
             watch: The session with the leader.
-            changed: Called when the leader should be told at once.
+            changed: Called when the leader should be notified immediately.
         """
         self._limits = limits
         self._watch = watch
-        self._changed = changed
+        self._notify_leader = changed
         self._hosts = 0
         self._shares: dict[str, send_slots.HostShare] = {}
-        # Targets whose limits the leader may not know.
+        # Targets whose limits the next renewal must report.
         self._unreported: set[str] = set()
-        # Those of them that the renewal under way names.
+        # Targets whose limits are in the renewal in progress.
         self._reporting: set[str] = set()
-        self._told_at = float("-inf")
+        self._last_notified_at = float("-inf")
         self._outcomes = dict.fromkeys(
             ("own", "granted", "denied", "unanswered"), 0
         )
 
     @property
     def outcomes(self) -> Mapping[str, int]:
-        """How many sends to limited targets ended in what."""
+        """The number of sends to limited targets by outcome."""
         return self._outcomes
 
-    # What is known.
+    # Limits.
 
     def set_hosts(self, hosts: int) -> None:
         """Sets how many entry hosts share the limits."""
         self._hosts = hosts
 
     def heard(self, said: registry_lib.Registration, text: str | None) -> None:
-        """Takes in what an answer of a target says.
+        """Records the limit in an answer of a target.
 
         Args:
-            said: The target.
+            said: The target's registration.
             text: The limit that the answer names; None if it names none.
         """
         rate = None
         if text is not None:
             rate = rate_limits_lib.parse(text)
             if rate is None:
-                # Its author meant some limit, so the last one stays.
+                # The target meant to name a limit, so the last one stays.
                 logs.warn("rate_limit_unreadable", target=said.name, text=text)
                 return
         now = clock.now()
         before = self._limits.rate(said.name, said.born)
         if not self._limits.heard(said.name, said.born, rate, now):
             return
-        _log(said.name, rate, "target")
+        _log_rate_limit(said.name, rate, "target")
         self._unreported.add(said.name)
-        is_due = now >= self._told_at + _TELL_SECONDS
+        is_due = now >= self._last_notified_at + _MIN_NOTIFY_INTERVAL_SECONDS
         if is_due and _is_large_change(before, rate):
-            self._told_at = now
-            self._changed()
+            self._last_notified_at = now
+            self._notify_leader()
 
     def merge(self, limits: Iterable[site_messages.RateLimit]) -> None:
-        """Takes in what the leader pushes."""
+        """Merges limits that the leader has pushed."""
         for name in self._limits.merge(limits, clock.now()):
-            _log(name, self._limits.rates.get(name), "leader")
+            _log_rate_limit(name, self._limits.rates.get(name), "leader")
 
     def report(
         self, *, everything: bool
     ) -> tuple[site_messages.RateLimit, ...]:
-        """Returns what the leader may not know, for a renewal.
+        """Returns limits to report to the leader with a renewal.
 
         Args:
-            everything: Whether it may know nothing at all.
+            everything: Whether to return all limits, for a leader that may
+                have none of them.
         """
         self._reporting |= self._unreported
         self._unreported = set()
@@ -118,12 +121,12 @@
         return self._limits.records(clock.now(), names)
 
     def reported(self) -> None:
-        """Notes that the renewal was answered."""
+        """Marks limits as reported after the renewal was answered."""
         self._reporting = set()
         for name in self._shares.keys() - self._limits.rates.keys():
             del self._shares[name]
 
-    # What is sent.
+    # Sends.
 
     async def permit(
         self, said: registry_lib.Registration, patience: float
@@ -131,7 +134,7 @@
         """Waits until a request may be sent to a target.
 
         Args:
-            said: The target.
+            said: The target's registration.
             patience: Seconds for which the request can wait.
 
         Returns:
@@ -152,11 +155,11 @@
                 limit=site_messages.RateLimit(said.name, said.born, rate, age),
                 patience=patience,
             ),
-            seconds=_ANSWER_SECONDS,
+            seconds=_TIMEOUT_SECONDS,
         )
         match answer:
             case site_messages.GiveSend(wait=float(wait)):
-                return await self._until(said, rate, now, wait)
+                return await self._wait_for_send(said, rate, now, wait)
             case site_messages.GiveSend(again=again):
                 self._outcomes["denied"] += 1
                 logs.event(
@@ -164,37 +167,37 @@
                 )
                 return again
         self._outcomes["unanswered"] += 1
-        return _UNANSWERED_SECONDS
+        return _UNANSWERED_BACKOFF_SECONDS
 
-    async def _until(
+    async def _wait_for_send(
         self,
         said: registry_lib.Registration,
         rate: float,
-        asked: float,
+        requested_at: float,
         wait: float,
     ) -> float | None:
-        """Waits for the moment of a granted send; returns as `permit` does."""
+        """Waits for the granted moment of a send; returns as `permit` does."""
         await asyncio.sleep(wait)
-        late = clock.now() - asked - wait - _ANSWER_SECONDS
-        known = self._limits.rate(said.name, said.born)
-        has_fallen = known is not None and known < rate
-        if late > _LATE_SECONDS or has_fallen:
+        delay = clock.now() - requested_at - wait - _TIMEOUT_SECONDS
+        current_rate = self._limits.rate(said.name, said.born)
+        has_decreased = current_rate is not None and current_rate < rate
+        if delay > _MAX_DELAY_SECONDS or has_decreased:
             self._outcomes["denied"] += 1
             return 0.0
         self._outcomes["granted"] += 1
         return None
 
 
-def _log(target: str, rate: float | None, told_by: str) -> None:
+def _log_rate_limit(target: str, rate: float | None, source: str) -> None:
     logs.event(
         "rate_limit",
         target=target,
         rate="none" if rate is None else rate,
-        told_by=told_by,
+        told_by=source,
     )
 
 
 def _is_large_change(before: float | None, rate: float | None) -> bool:
     if before is None or rate is None:
         return True
-    return abs(rate - before) > _SMALL_CHANGE * max(rate, before)
+    return abs(rate - before) > _SMALL_CHANGE_SHARE * max(rate, before)
--- a/packages/endivestream/src/endivestream/process/entry_repeats.py
+++ b/packages/endivestream/src/endivestream/process/entry_repeats.py
@@ -11,8 +11,9 @@
 # Limits how long a failed request waits for the leader to grant a repeat. The
 # leader normally answers within milliseconds.
 _TIMEOUT_SECONDS = 0.1
-# After a repeat was not granted, the leader is not asked again for the service
-# for this long. Otherwise every request would ask when all targets fail.
+# After a repeat was not granted, no further request for the service is sent
+# for this long. Otherwise every failed request would send one when all targets
+# fail.
 _BACKOFF_SECONDS = 0.5
 
 
@@ -51,8 +52,8 @@
             self._budgets[service] = budget
         return budget
 
-    async def ask(self, service: str) -> bool:
-        """Asks the leader for one repeat and returns whether it was granted."""
+    async def request(self, service: str) -> bool:
+        """Requests a repeat from the leader; returns whether it was granted."""
         if self._backoff_until.get(service, 0.0) > clock.now():
             return False
         answer = await self._watch.ask(
--- a/packages/endivestream/src/endivestream/process/freshness.py
+++ b/packages/endivestream/src/endivestream/process/freshness.py
@@ -1,9 +1,10 @@
-"""Whether this host has the newest configuration, as the leader says.
+"""Checks with the leader whether this host has the newest configuration.
 
-A host may act on its configuration for a whole lease, longer than a change
-takes to be in force. That a route or a key is *not* there is final for the
-caller, so it is said only of a configuration that the leader has confirmed
-since the request came. Requests that come together share one question.
+A host may use its configuration until its lease expires, which is longer than
+a change takes to be in force. To a caller, the answer that a route or a key
+does *not* exist is final. It is therefore given only if the leader has
+confirmed the configuration version since the request arrived. Concurrent
+requests share one query.
 """
 
 from __future__ import annotations
@@ -18,79 +19,84 @@
 from endivestream import tasks
 from endivestream.connection import watch as watch_lib
 
-_ANSWER_SECONDS = 0.25
-# Before a leader that did not answer is asked again.
-_AGAIN_SECONDS = 0.05
+_TIMEOUT_SECONDS = 0.25
+# Delay before the query is sent again to a leader that did not answer.
+_RETRY_SECONDS = 0.05
 
 
 class Freshness:
-    """Asks for the newest configuration. Lives as long as the process."""
+    """Queries the newest version, created once when the process starts."""
 
     def __init__(
         self,
         *,
         watch: watch_lib.Watch,
         version: Callable[[], int],
-        changed: Callable[[float], Awaitable[None]],
+        wait_for_change: Callable[[float], Awaitable[None]],
     ) -> None:
-        """Asks nothing yet.
+        """Sends no query yet.
 
         Args:
             watch: The session with the leader.
-            version: Returns the version in force here.
-            changed: Waits until that may be another, for so many seconds at
-                most.
+            version: Returns the version in force on this host.
+            wait_for_change: Waits until that version may have changed, for at
+                most the given number of seconds.
         """
         self._watch = watch
         self._version = version
-        self._changed = changed
-        self._asked = 0
-        self._question: asyncio.Task[int | None] | None = None
+        self._wait_for_change = wait_for_change
+        self._queries_sent = 0
+        self._query: asyncio.Task[int | None] | None = None
 
     async def close(self) -> None:
-        """Ends a question under way."""
-        await tasks.cancel([self._question])
+        """Cancels a query in progress."""
+        await tasks.cancel([self._query])
 
     async def confirm(self, seconds: float) -> bool:
-        """Waits until this host surely has what was the newest at the call.
+        """Waits until this host has the version that was newest at the call.
 
         Args:
-            seconds: How long to wait.
+            seconds: The maximum time to wait.
 
         Returns:
-            Whether it has; False if no leader said so in time.
+            Whether it has that version; False if no leader confirmed it in
+            time.
         """
-        until = clock.now() + seconds
-        told = None
-        while told is None or told > self._version():
-            left = until - clock.now()
-            if left <= 0:
-                logs.warn("unconfirmed", version=self._version(), newest=told)
+        deadline = clock.now() + seconds
+        newest_version = None
+        while newest_version is None or newest_version > self._version():
+            remaining = deadline - clock.now()
+            if remaining <= 0:
+                logs.warn(
+                    "configuration_unconfirmed",
+                    version=self._version(),
+                    newest=newest_version,
+                )
                 return False
-            if told is not None:
+            if newest_version is not None:
                 self._watch.poke()
-                await self._changed(left)
+                await self._wait_for_change(remaining)
                 continue
-            told = await self._newest()
-            if told is None:
-                await asyncio.sleep(min(left, _AGAIN_SECONDS))
+            newest_version = await self._query_newest()
+            if newest_version is None:
+                await asyncio.sleep(min(remaining, _RETRY_SECONDS))
         return True
 
-    async def _newest(self) -> int | None:
-        """Returns the newest version, by a question sent after the call."""
-        wanted = self._asked + 1
-        while self._asked < wanted:
-            if self._question is not None and not self._question.done():
-                await asyncio.wait({self._question})
+    async def _query_newest(self) -> int | None:
+        """Returns the newest version, from a query sent after the call."""
+        required = self._queries_sent + 1
+        while self._queries_sent < required:
+            if self._query is not None and not self._query.done():
+                await asyncio.wait({self._query})
             else:
-                self._asked += 1
-                self._question = tasks.start(self._ask(), "newest_version")
-        assert self._question is not None, "just started"
-        return await asyncio.shield(self._question)
+                self._queries_sent += 1
+                self._query = tasks.start(self._send_query(), "newest_version")
+        assert self._query is not None, "just started"
+        return await asyncio.shield(self._query)
 
-    async def _ask(self) -> int | None:
+    async def _send_query(self) -> int | None:
         answer = await self._watch.ask(
-            site_messages.AskVersion(), seconds=_ANSWER_SECONDS
+            site_messages.AskVersion(), seconds=_TIMEOUT_SECONDS
         )
         if isinstance(answer, site_messages.ToldVersion):
             return answer.version
--- a/tests/test_entry_credit.py
+++ b/tests/test_entry_credit.py
@@ -12,20 +12,20 @@
 
 
 class FakeWatch:
-    """Stands for the session with the leader; loses its first answers."""
+    """Replaces the session with the leader; its first answers are lost."""
 
     def __init__(self, lost):
         self.lost = lost
-        self.asked = 0
-        self.sizes = []
-        self.seconds = 0.0
+        self.requests = 0
+        self.batch_sizes = []
+        self.answer_seconds = 0.0
 
     async def ask(self, message, *, seconds):
-        self.asked += 1
-        if self.asked <= self.lost:
+        self.requests += 1
+        if self.requests <= self.lost:
             return None
-        self.sizes.append(len(message.asked))
-        await asyncio.sleep(self.seconds)
+        self.batch_sizes.append(len(message.asked))
+        await asyncio.sleep(self.answer_seconds)
         return site_messages.GiveCredit(
             grants=tuple(
                 site_messages.Grant("band", each.need.wanted, 0.0, 0.0)
@@ -41,52 +41,61 @@
         )
         return await credit.take(TEAM, 100.0, soon=patience, patience=patience)
 
-    async def test_a_lost_answer_refuses_nobody(self):
-        """A team inside its rate is served over a link that loses packets.
+    async def test_lost_answer_does_not_refuse_request(self):
+        """Guards against refusals of a team within its rate by packet loss.
 
-        Two answers of the leader are lost; no one has said that the team is
-        over its rate, so the host asks once more.
+        Two answers of the leader are lost. They could have granted the credit,
+        so the host sends its credit request again.
         """
         watch = FakeWatch(lost=2)
         self.assertIsNone(await self._take(watch, 30.0))
-        self.assertEqual(watch.asked, 3)
+        self.assertEqual(watch.requests, 3)
 
-    async def test_without_a_leader_the_refusal_comes_in_time(self):
+    async def test_request_without_leader_is_refused_in_time(self):
+        """Guards against requests that wait forever without a leader."""
         watch = FakeWatch(lost=10**6)
         self.assertGreater(await self._take(watch, 0.0), 0.0)
 
-    async def test_questions_that_meet_a_busy_leader_share_a_message(self):
-        """A leader must not be asked for each request of a flood."""
+    async def test_concurrent_credit_requests_share_messages(self):
+        """Guards against a message to the leader for each request of a burst.
+
+        The leader takes 10 ms to answer. Credit requests made meanwhile must
+        be batched.
+        """
         watch = FakeWatch(lost=0)
-        watch.seconds = 0.01
+        watch.answer_seconds = 0.01
         credit = entry_credit.EntryCredit(
             allowance=allowance_lib.Allowance(), watch=watch, host="e1"
         )
-        taken = await asyncio.gather(
+        results = await asyncio.gather(
             *(
                 credit.take(TEAM, 10.0, soon=9.0, patience=9.0)
                 for _ in range(60)
             )
         )
-        self.assertEqual(taken, [None] * 60)
-        self.assertLess(watch.asked, 10)
-        # A question that finds none under way leaves at once.
-        self.assertEqual(watch.sizes[0], 1)
+        self.assertEqual(results, [None] * 60)
+        self.assertLess(watch.requests, 10)
+        # A credit request is sent immediately if no message is in flight.
+        self.assertEqual(watch.batch_sizes[0], 1)
 
-    async def test_credit_of_a_caller_that_left_is_not_lost(self):
-        """Its team's next request must not wait for the same credit again."""
+    async def test_credit_of_disconnected_caller_is_not_lost(self):
+        """Guards against credit lost when a caller disconnects early.
+
+        The grant arrives after the request was cancelled. Without it, the
+        team's next request would wait for the same credit again.
+        """
         watch = FakeWatch(lost=0)
-        watch.seconds = 0.01
+        watch.answer_seconds = 0.01
         allowance = allowance_lib.Allowance()
         credit = entry_credit.EntryCredit(
             allowance=allowance, watch=watch, host="e1"
         )
-        taking = asyncio.create_task(
+        task = asyncio.create_task(
             credit.take(TEAM, 100.0, soon=9.0, patience=9.0)
         )
-        while not watch.sizes:
+        while not watch.batch_sizes:
             await asyncio.sleep(0)
-        taking.cancel()
+        task.cancel()
         async with asyncio.timeout(10.0):
             while not allowance.balance("band"):
                 await asyncio.sleep(0.001)
--- a/tests/test_entry_repeats.py
+++ b/tests/test_entry_repeats.py
@@ -13,7 +13,7 @@
     def setUp(self):
         self.now = 100.0
         self.answers = []
-        self.asked = 0
+        self.requests = 0
         patch = mock.patch.object(clock, "now", lambda: self.now)
         patch.start()
         self.addCleanup(patch.stop)
@@ -22,37 +22,45 @@
         )
 
     async def ask(self, message, *, seconds):
-        self.asked += 1
+        self.requests += 1
         return self.answers.pop(0)
 
-    async def test_a_granted_repeat_does_not_delay_the_next(self):
+    async def test_granted_repeat_does_not_delay_next_repeat(self):
+        """Guards against a backoff after a repeat that was granted."""
         self.answers = [site_messages.GiveRepeat(granted=True)] * 2
         for _ in range(2):
-            self.assertTrue(await self.repeats.ask("desk"))
+            self.assertTrue(await self.repeats.request("desk"))
 
-    async def test_the_leader_is_not_asked_for_every_failed_request(self):
-        """Guards against flooding the leader when all targets fail."""
+    async def test_refusal_stops_requests_to_leader_for_a_while(self):
+        """Guards against flooding the leader when all targets fail.
+
+        Every failed request would then send a request for a repeat.
+        """
         self.answers = [None, site_messages.GiveRepeat(granted=True)]
         for _ in range(50):
-            self.assertFalse(await self.repeats.ask("desk"))
-        self.assertEqual(self.asked, 1)
+            self.assertFalse(await self.repeats.request("desk"))
+        self.assertEqual(self.requests, 1)
         self.now += 1.0
-        self.assertTrue(await self.repeats.ask("desk"))
+        self.assertTrue(await self.repeats.request("desk"))
 
     async def test_backoff_applies_to_one_service(self):
+        """Guards against services that lose repeats to another's failures."""
         self.answers = [
             site_messages.GiveRepeat(granted=False),
             site_messages.GiveRepeat(granted=True),
         ]
-        self.assertFalse(await self.repeats.ask("desk"))
-        self.assertTrue(await self.repeats.ask("models"))
+        self.assertFalse(await self.repeats.request("desk"))
+        self.assertTrue(await self.repeats.request("models"))
+
+    def test_first_request_of_service_may_be_repeated(self):
+        """Guards against a window without repeats after the first request.
 
-    def test_a_service_has_its_fixed_number_from_its_first_request(self):
-        """Guards against a window without repeats after the first request."""
+        A service's first request comes a minute after the process has started.
+        """
         self.now += 60.0
         self.assertTrue(self.repeats.budget("desk").spend(self.now))
 
-    def test_budgets_follow_the_number_of_hosts(self):
+    def test_budget_is_divided_by_number_of_hosts(self):
         """Guards against a host that also spends the other hosts' repeats."""
         budget = self.repeats.budget("desk")
         self.repeats.set_hosts(50)
--- a/tests/test_entry_site.py
+++ b/tests/test_entry_site.py
@@ -1,4 +1,7 @@
-"""A whole site of entry and control hosts in one event loop, on loopback."""
+"""Tests for a site of entry and control hosts in one event loop.
+
+The hosts communicate over loopback.
+"""
 
 import asyncio
 import math
@@ -25,14 +28,14 @@
 
 
 def free_address():
-    """An address that nobody listens on; processes must know it beforehand."""
+    """Returns an unused address; processes must know theirs beforehand."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{sock.getsockname()[1]}"
 
 
 class NoCodec:
-    """Stands where no engine is called."""
+    """Codec of a control host that sends engines no orders."""
 
     def order(self, order, target):
         return engines_lib.Request("POST", "/order", {}, b"")
@@ -107,7 +110,7 @@
         entry.start()
         return entry
 
-    async def _until(self, condition):
+    async def _wait_until(self, condition):
         async with asyncio.timeout(30):
             while not condition():
                 await asyncio.sleep(0.005)
@@ -118,8 +121,8 @@
             while not await control.apply(document):
                 await asyncio.sleep(0.005)
 
-    async def _in_force(self, version):
-        await self._until(
+    async def _wait_in_force(self, version):
+        await self._wait_until(
             lambda: all(e.version == version for e in self.entries)
         )
 
@@ -138,55 +141,62 @@
             while not await control.register(said):
                 await asyncio.sleep(0.005)
 
-    async def _ask(self, entry, **headers):
+    async def _send_request(self, entry, **headers):
         caller = await standin.Caller(entry._settings.callers).start()
         try:
             return await caller.ask(**headers)
         finally:
             caller.close()
 
-    async def test_only_the_link_to_the_leader_is_kept(self):
-        """Links left from a search would be kept alive by every host."""
+    async def test_links_to_followers_are_closed(self):
+        """Guards against links that stay open after the search for a leader.
+
+        Each entry host would send heartbeats over them.
+        """
         watch = self.entries[0]._watch
-        await self._until(lambda: watch.leader)
+        await self._wait_until(lambda: watch.leader)
         others = [peer for peer in self.peers if peer != watch.leader]
         entry = self._start_entry("e9", controls=(*others, watch.leader))
         self.entries.append(entry)
-        await self._until(lambda: entry._watch.leader)
+        await self._wait_until(lambda: entry._watch.leader)
         self.assertEqual(set(entry._watch._links), {entry._watch.leader})
 
-    async def test_a_request_is_served_and_a_withdrawn_key_is_not(self):
-        """The whole path, from an operator's document to a target's answer.
+    async def test_request_is_served_until_its_key_is_withdrawn(self):
+        """Guards against requests that fail, and revoked keys that work.
 
-        The same key is refused on every entry host once a later document
+        Covers the complete path from an operator's document to a target's
+        answer. Each entry host must refuse the same key once a later document
         without it is in force.
         """
         team = document_lib.Team(name="band", keys=("k",))
         await self._apply(test_document.document(1, teams=[team]))
         await self._register()
-        await self._in_force(1)
+        await self._wait_in_force(1)
         for entry in self.entries:
-            await self._until(lambda entry=entry: "t1" in entry._view.targets)
-            reply = await self._ask(entry, Authorization="Bearer k")
+            await self._wait_until(
+                lambda entry=entry: "t1" in entry._view.targets
+            )
+            reply = await self._send_request(entry, Authorization="Bearer k")
             self.assertEqual((reply.status, reply.body), (200, b"done"))
         other = document_lib.Team(name="band", keys=("other",))
         await self._apply(test_document.document(2, teams=[other]))
-        await self._in_force(2)
+        await self._wait_in_force(2)
         for entry in self.entries:
-            reply = await self._ask(entry, Authorization="Bearer k")
+            reply = await self._send_request(entry, Authorization="Bearer k")
             self.assertEqual(reply.status, 401)
 
-    async def test_a_host_that_missed_a_change_denies_nothing(self):
-        """A route or key added by a confirmed change must not get 404 or 401.
+    async def test_host_with_outdated_configuration_sends_no_404(self):
+        """Guards against 404 or 401 for routes or keys of a confirmed change.
 
-        One entry host hears nothing more of the leader, and still has a lease.
+        One entry host loses its connection to the leader but still has a
+        lease. It does not receive the change.
         """
         await self._apply(test_document.document(1))
         await self._register()
-        await self._in_force(1)
-        cut, sound = self.entries
-        await self._until(lambda: "t1" in sound._view.targets)
-        await self._cut_off(cut)
+        await self._wait_in_force(1)
+        disconnected, connected = self.entries
+        await self._wait_until(lambda: "t1" in connected._view.targets)
+        await self._disconnect(disconnected)
         team = document_lib.Team(name="band", keys=("k",))
         added = test_document.route("added", prefix="/added/", anonymous=True)
         await self._apply(
@@ -194,52 +204,58 @@
                 2, routes=[test_document.route(), added], teams=[team]
             )
         )
-        await self._until(lambda: sound.version == 2)
-        self.assertEqual(cut.version, 1)
-        reply = await self._ask(cut, path="/added/1")
+        await self._wait_until(lambda: connected.version == 2)
+        self.assertEqual(disconnected.version, 1)
+        reply = await self._send_request(disconnected, path="/added/1")
         self.assertEqual(reply.status, 503)
-        reply = await self._ask(sound, path="/added/1")
+        reply = await self._send_request(connected, path="/added/1")
         self.assertEqual(reply.status, 200)
-        reply = await self._ask(sound, path="/never/1")
+        reply = await self._send_request(connected, path="/never/1")
         self.assertEqual(reply.status, 404)
 
-    async def test_a_target_gets_no_more_than_the_limit_it_names(self):
-        """Guards against hosts that send on as if nothing had been said."""
+    async def test_rate_limit_of_target_is_not_exceeded(self):
+        """Guards against hosts that ignore a limit named in an answer."""
         rate = 1.5
-        named = standin.answer(body=b"done", X_Rate_Limit=str(rate))
-        limited = await standin.Target(standin.says(named)).start()
+        answer = standin.answer(body=b"done", X_Rate_Limit=str(rate))
+        limited = await standin.Target(standin.says(answer)).start()
         self.addAsyncCleanup(limited.close)
         self.target, unlimited = limited, self.target
         self.addAsyncCleanup(unlimited.close)
         await self._apply(test_document.document(1))
         await self._register()
-        await self._in_force(1)
+        await self._wait_in_force(1)
         for entry in self.entries:
-            await self._until(lambda entry=entry: "t1" in entry._view.targets)
+            await self._wait_until(
+                lambda entry=entry: "t1" in entry._view.targets
+            )
             async with asyncio.timeout(30):
-                while (await self._ask(entry)).status != 200:
+                while (await self._send_request(entry)).status != 200:
                     await asyncio.sleep(0.05)
         await asyncio.sleep(0.5)
-        before, begun = len(limited.requests), clock.now()
+        before, started_at = len(limited.requests), clock.now()
         statuses = set()
-        while clock.now() < begun + 4.0:
+        while clock.now() < started_at + 4.0:
             replies = await asyncio.gather(
-                *(self._ask(e, X_Deadline_Ms=2000) for e in self.entries)
+                *(
+                    self._send_request(e, X_Deadline_Ms=2000)
+                    for e in self.entries
+                )
             )
             statuses |= {reply.status for reply in replies}
             for reply in replies:
                 if reply.status != 200:
                     self.assertIn("Retry-After", reply.headers)
         arrived = len(limited.requests) - before
-        seconds = clock.now() - begun
+        seconds = clock.now() - started_at
         self.assertLessEqual(arrived, 1.5 * rate * seconds + 5)
         self.assertGreaterEqual(arrived, 3)
         self.assertLessEqual(statuses, {200, 503})
 
-    async def test_a_stopping_host_answers_what_a_target_leaves_unanswered(
-        self,
-    ):
-        """Guards against connections closed with no answer at a stop."""
+    async def test_draining_host_answers_requests_of_a_silent_target(self):
+        """Guards against connections closed without a response at a stop.
+
+        The target has received the request and never answers.
+        """
         silent = await standin.Target(standin.hangs).start()
         self.addAsyncCleanup(silent.close)
         self.target, other = silent, self.target
@@ -247,37 +263,41 @@
         route = test_document.route(timeout=60.0)
         await self._apply(test_document.document(1, routes=[route]))
         await self._register()
-        await self._in_force(1)
+        await self._wait_in_force(1)
         entry = self.entries[0]
-        await self._until(lambda: "t1" in entry._view.targets)
-        asking = asyncio.create_task(self._ask(entry, X_Deadline_Ms=60_000))
-        await self._until(lambda: silent.requests)
+        await self._wait_until(lambda: "t1" in entry._view.targets)
+        task = asyncio.create_task(
+            self._send_request(entry, X_Deadline_Ms=60_000)
+        )
+        await self._wait_until(lambda: silent.requests)
         await entry.drain()
         async with asyncio.timeout(5.0):
-            reply = await asking
+            reply = await task
         self.assertEqual((reply.status, reply.whole), (502, True))
 
-    async def _cut_off(self, entry):
-        """Leaves an entry host without a way to any control host."""
-        nowhere = f"tcp://{free_address()}"
+    async def _disconnect(self, entry):
+        """Cuts an entry host's connections to all control hosts."""
+        unused = f"tcp://{free_address()}"
         watch = entry._watch
-        watch._seeds, watch._controls = (nowhere,), [nowhere]
-        watch._leader = nowhere
+        watch._seeds, watch._controls = (unused,), [unused]
+        watch._leader = unused
         for link in list(watch._links.values()):
             await link.close()
         watch._links.clear()
 
-    async def test_the_leader_s_death_refuses_nobody(self):
-        """Requests go on while there is no leader, and a new one is found.
+    async def test_requests_are_served_after_failure_of_leader(self):
+        """Guards against requests refused while there is no leader.
 
-        The leading control host ends; entry hosts serve from what they have,
-        and a later document comes into force by way of the next leader.
+        The leader stops. Entry hosts must serve from their local state, and a
+        later document must come into force through the next leader.
         """
         await self._apply(test_document.document(1))
         await self._register()
-        await self._in_force(1)
+        await self._wait_in_force(1)
         for entry in self.entries:
-            await self._until(lambda entry=entry: "t1" in entry._view.targets)
+            await self._wait_until(
+                lambda entry=entry: "t1" in entry._view.targets
+            )
         leader = next(
             peer
             for peer, control in self.controls.items()
@@ -285,12 +305,12 @@
         )
         await self.controls.pop(leader).close()
         for entry in self.entries:
-            self.assertEqual((await self._ask(entry)).status, 200)
+            self.assertEqual((await self._send_request(entry)).status, 200)
         await self._apply(test_document.document(2))
-        await self._in_force(2)
+        await self._wait_in_force(2)
 
-    async def test_what_was_accepted_is_read_back_by_any_control_host(self):
-        """Reads never show an older document, whichever host is asked."""
+    async def test_reads_from_any_control_host_are_current(self):
+        """Guards against reads from a follower that return an old document."""
         await self._apply(test_document.document(3))
         for control in self.controls.values():
             async with asyncio.timeout(30):
@@ -298,21 +318,25 @@
                     await asyncio.sleep(0.005)
             self.assertEqual(source, b"version 3")
 
-    async def test_without_a_majority_nothing_is_accepted_or_read(self):
-        """A control host that is alone does not say what it cannot know."""
+    async def test_control_host_without_quorum_refuses_reads_and_writes(self):
+        """Guards against answers of a control host that is not up to date.
+
+        The other two of three control hosts have stopped.
+        """
         await self._apply(test_document.document(1))
         for peer in self.peers[:2]:
             await self.controls.pop(peer).close()
-        alone = self.controls[self.peers[2]]
-        await self._until(lambda: not alone._control.replicator.leads)
-        self.assertFalse(await alone.apply(test_document.document(2)))
-        self.assertIsNone(await alone.read())
+        remaining = self.controls[self.peers[2]]
+        await self._wait_until(lambda: not remaining._control.replicator.leads)
+        self.assertFalse(await remaining.apply(test_document.document(2)))
+        self.assertIsNone(await remaining.read())
 
-    async def test_a_lost_disk_comes_back_as_another_voter(self):
-        """A second loss right after the repair loses nothing.
+    async def test_control_host_with_lost_disk_rejoins_as_new_voter(self):
+        """Guards against lost data after a second failure.
 
-        A control host comes back with an empty folder under its old address;
-        it becomes a voter in place of its former self.
+        A control host restarts with an empty folder at its old address. It
+        must replace its former identity as a voter, so that a second loss
+        right after that leaves a quorum.
         """
         await self._apply(test_document.document(1))
         peer = next(
@@ -328,7 +352,7 @@
         await self._start_control(peer, first_start=False)
         identity = self.controls[peer]._control.replicator.identity
 
-        def repaired():
+        def is_voter_replaced():
             voters = [
                 {
                     m.identity
@@ -338,124 +362,129 @@
             ]
             return all(len(v) == 3 and identity in v for v in voters)
 
-        await self._until(repaired)
+        await self._wait_until(is_voter_replaced)
         other = next(p for p in self.controls if p != peer)
         await self.controls.pop(other).close()
         await self._apply(test_document.document(2), self.controls[peer])
 
-    async def test_a_full_disk_is_waited_for(self):
-        """A control host does not end again and again on a full disk.
+    async def test_control_host_waits_for_space_on_full_disk(self):
+        """Guards against a control host that restarts repeatedly.
 
-        It ended when its disk refused an entry and is started while the disk
-        still does; once there is room it takes part, and nothing accepted
-        meanwhile is missing.
+        It stopped when the disk was full, and is started while the disk still
+        refuses writes. Once there is space it must rejoin and have all entries
+        that were accepted meanwhile.
         """
         await self._apply(test_document.document(1))
         peer = self.peers[0]
         await self.controls.pop(peer).close()
-        tries = []
+        attempts = []
 
-        def refuses(folder):
-            tries.append(folder)
-            if len(tries) < 3:
+        def refuse_writes(folder):
+            attempts.append(folder)
+            if len(attempts) < 3:
                 raise OSError(28, "no space left")
 
         with (
             mock.patch.object(site_control, "_DISK_SECONDS", 0.001),
-            mock.patch.object(storage, "check_writable", refuses),
+            mock.patch.object(storage, "check_writable", refuse_writes),
         ):
             await self._start_control(peer)
-        self.assertEqual(len(tries), 3)
+        self.assertEqual(len(attempts), 3)
         await self._apply(test_document.document(2))
         source = None
         async with asyncio.timeout(30):
             while source != b"version 2":
                 source = await self.controls[peer].read()
 
-    def test_a_disk_that_takes_bytes_is_left_as_it_was(self):
+    def test_check_of_writable_disk_leaves_no_file(self):
+        """Guards against files that the check leaves in the data folder."""
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / "log"
             storage.check_writable(path)
             self.assertEqual(list(path.iterdir()), [])
 
-    async def test_a_draining_target_gets_nothing_new(self):
+    async def test_draining_target_gets_no_new_requests(self):
+        """Guards against requests sent to a target that is to stop."""
         await self._apply(test_document.document(1))
         await self._register()
-        await self._in_force(1)
+        await self._wait_in_force(1)
         entry = self.entries[0]
-        await self._until(lambda: "t1" in entry._view.targets)
+        await self._wait_until(lambda: "t1" in entry._view.targets)
         await self._register(draining=True, number=2)
-        await self._until(lambda: entry._view.targets["t1"].said.draining)
-        reply = await self._ask(entry)
+        await self._wait_until(lambda: entry._view.targets["t1"].said.draining)
+        reply = await self._send_request(entry)
         self.assertEqual(reply.status, 503)
         self.assertEqual(self.target.requests, [])
 
-    async def _new_leader(self):
-        """Ends the leader, and waits until both entry hosts follow another."""
+    async def _replace_leader(self):
+        """Stops the leader; waits until both entry hosts follow another."""
         peer = next(
             peer
             for peer, control in self.controls.items()
             if control._control.replicator.leads
         )
         await self.controls.pop(peer).close()
-        await self._until(
+        await self._wait_until(
             lambda: all(e._watch.leader not in ("", peer) for e in self.entries)
         )
 
-    async def _leave(self):
+    async def _deregister(self):
         control = list(self.controls.values())[-1]
         async with asyncio.timeout(30):
             while not await control.leave("t1"):
                 await asyncio.sleep(0.005)
 
-    async def test_a_good_bye_that_a_new_leader_hears_first_counts(self):
-        """A target that has left gets nothing, though its leader is new.
+    async def test_deregistration_at_new_leader_removes_target(self):
+        """Guards against requests to a target that has departed.
 
-        The leader dies; the target says good-bye to its successor before any
-        report. Entry hosts still have the target from the leader before, and
-        would keep one that is merely not named for a while.
+        The leader stops, and the target deregisters at its successor before
+        any report. Entry hosts still have the target from the previous leader,
+        and keep targets for a while that the new leader's table just does not
+        list.
         """
-        keep = mock.patch.object(entry_lib, "_UNNAMED_SECONDS", math.inf)
-        self.enterContext(keep)
+        patch = mock.patch.object(
+            entry_lib, "_UNLISTED_TARGET_SECONDS", math.inf
+        )
+        self.enterContext(patch)
         await self._apply(test_document.document(1))
         await self._register()
-        await self._in_force(1)
-        await self._until(
+        await self._wait_in_force(1)
+        await self._wait_until(
             lambda: all("t1" in e._view.targets for e in self.entries)
         )
-        await self._new_leader()
-        await self._leave()
-        await self._until(
+        await self._replace_leader()
+        await self._deregister()
+        await self._wait_until(
             lambda: not any("t1" in e._view.targets for e in self.entries)
         )
-        reply = await self._ask(self.entries[0])
+        reply = await self._send_request(self.entries[0])
         self.assertEqual(reply.status, 503)
         self.assertEqual(self.target.requests, [])
 
-    async def test_a_late_report_brings_nobody_back_at_a_new_leader(self):
-        """A target that has left gets nothing after a change of leader.
+    async def test_late_report_to_new_leader_does_not_restore_target(self):
+        """Guards against requests to a target that has departed.
 
-        It says good-bye, the leader dies, and a report from before arrives at
-        the successor, whose own table is empty.
+        The target deregisters and the leader stops. An earlier report then
+        arrives at the successor, whose own table is empty.
         """
         await self._apply(test_document.document(1))
         await self._register(number=8)
-        await self._leave()
-        await self._new_leader()
+        await self._deregister()
+        await self._replace_leader()
         await self._register(number=7)
-        await self._in_force(1)
-        reply = await self._ask(self.entries[0])
+        await self._wait_in_force(1)
+        reply = await self._send_request(self.entries[0])
         self.assertEqual(reply.status, 503)
         self.assertEqual(self.target.requests, [])
 
-    async def test_a_stopping_host_leaves_the_directory(self):
-        """Callers are sent to hosts that go on; the other ends in time."""
+    async def test_draining_host_is_removed_from_address_list(self):
+        """Guards against callers that are directed to a host about to stop."""
         await self._apply(test_document.document(1))
-        await self._in_force(1)
+        await self._wait_in_force(1)
         first, second = self.entries
-        await self._until(lambda: len(second.addresses("a")) == 2)
-        stopping = asyncio.create_task(first.drain())
-        await self._until(lambda: len(second.addresses("a")) == 1)
+        await self._wait_until(lambda: len(second.addresses("a")) == 2)
+        drain = asyncio.create_task(first.drain())
+        await self._wait_until(lambda: len(second.addresses("a")) == 1)
         self.assertFalse(first.is_ready)
         self.assertTrue(second.is_ready)
-        await stopping
+        await drain
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -1,4 +1,4 @@
-"""What an entry host asks of the leader before it denies a request."""
+"""Tests for the check of the configuration version with the leader."""
 
 import asyncio
 import unittest
@@ -13,18 +13,18 @@
 
 
 class Leader:
-    """Stands in for the session with the leader."""
+    """Replaces the session with the leader."""
 
     def __init__(self):
         self.version = 3
-        self.asked = 0
-        self.poked = 0
-        self.away_until = 0.0
+        self.queries = 0
+        self.pokes = 0
+        self.unreachable_until = 0.0
 
     async def ask(self, message, *, seconds):
         assert isinstance(message, site_messages.AskVersion), message
-        self.asked += 1
-        if clock.now() < self.away_until:
+        self.queries += 1
+        if clock.now() < self.unreachable_until:
             return None
         await asyncio.sleep(ROUND_TRIP_SECONDS / 2)
         version = self.version
@@ -32,18 +32,18 @@
         return site_messages.ToldVersion(version=version)
 
     def poke(self):
-        self.poked += 1
+        self.pokes += 1
 
 
 class FreshnessTest(unittest.TestCase):
     def _run(self, work):
         async def run():
-            self.held = 3
+            self.local_version = 3
             self.leader = Leader()
             self.freshness = freshness_lib.Freshness(
                 watch=self.leader,
-                version=lambda: self.held,
-                changed=asyncio.sleep,
+                version=lambda: self.local_version,
+                wait_for_change=asyncio.sleep,
             )
             try:
                 return await work()
@@ -53,21 +53,28 @@
         with virtual_time.running() as runner:
             return runner.run(run())
 
-    def test_requests_that_come_together_share_a_question(self):
-        """A flood of unknown routes must not be a flood at the leader."""
+    def test_concurrent_requests_share_a_query(self):
+        """Guards against overloading the leader.
+
+        A burst of requests for unknown routes must not send it a query each.
+        """
 
         async def work():
             confirm = self.freshness.confirm
             self.assertTrue(
                 all(await asyncio.gather(*(confirm(1.0) for _ in range(500))))
             )
-            return self.leader.asked
+            return self.leader.queries
 
-        # The first may have been sent before the others came.
+        # The first query may have been sent before the other requests arrived.
         self.assertLessEqual(self._run(work), 2)
 
-    def test_a_question_sent_before_the_call_does_not_count(self):
-        """Its answer may be from before the change that the caller knows."""
+    def test_query_sent_before_the_request_is_not_shared(self):
+        """Guards against denying a request by an outdated version.
+
+        The answer to a query that was sent before the request arrived may be
+        older than a change that was already confirmed to the caller.
+        """
 
         async def work():
             early = asyncio.create_task(self.freshness.confirm(1.0))
@@ -77,25 +84,29 @@
             await asyncio.sleep(ROUND_TRIP_SECONDS * 2)
             self.assertTrue(early.done())
             self.assertFalse(late.done())
-            self.assertEqual(self.leader.poked, 1)
-            self.held = 4
+            self.assertEqual(self.leader.pokes, 1)
+            self.local_version = 4
             return await late
 
         self.assertTrue(self._run(work))
 
-    def test_a_leader_that_comes_in_time_is_waited_for(self):
+    def test_query_is_retried_until_leader_answers(self):
+        """Guards against giving up early while there is no leader."""
+
         async def work():
-            self.leader.away_until = clock.now() + 0.3
+            self.leader.unreachable_until = clock.now() + 0.3
             return await self.freshness.confirm(0.5)
 
         self.assertTrue(self._run(work))
 
-    def test_without_a_leader_nothing_is_confirmed(self):
+    def test_version_is_not_confirmed_without_leader(self):
+        """Guards against a confirmation without an answer of the leader."""
+
         async def work():
-            begun = clock.now()
-            self.leader.away_until = begun + 60.0
+            started_at = clock.now()
+            self.leader.unreachable_until = started_at + 60.0
             confirmed = await self.freshness.confirm(0.5)
-            self.assertAlmostEqual(clock.now() - begun, 0.5, places=6)
+            self.assertAlmostEqual(clock.now() - started_at, 0.5, places=6)
             return confirmed
 
         self.assertFalse(self._run(work))
