--- a/packages/endivestream/src/endivestream/process/callers.py
+++ b/packages/endivestream/src/endivestream/process/callers.py
@@ -1,4 +1,4 @@
-"""HTTP routes for callers: the inference interface and plain services."""
+"""HTTP routes for callers: the inference API and plain services."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from endivestream.request import sse
 from endivestream.version import configuration as configuration_lib
 
-# Query parameters under which clients are known to send keys.
-_KEY_PARAMETERS = ("api_key", "api-key", "key", "access_token")
+# Query parameters in which clients commonly send keys.
+_KEY_QUERY_PARAMETERS = ("api_key", "api-key", "key", "access_token")
 
 
-class _GenerationHandler(handlers.KeyHandler):
+class _GenerationHandler(handlers.AuthenticatedHandler):
     """`/v1/chat/completions` and `/v1/completions`."""
 
     _relay: relay_lib.Relay | None = None
@@ -68,10 +68,10 @@
             request=request,
             team=key.team,
             generation=generation,
-            emit=self._emit if generation.stream else _drop,
+            emit=self._send_event if generation.stream else _discard_event,
         )
         self._relay = relay
-        result = await self.pay(
+        result = await self.run_with_credit(
             request,
             key.team,
             generation.cost,
@@ -82,15 +82,16 @@
         )
         if isinstance(result, findings.Failure):
             return result
-        await self._answer(request, generation, result)
+        await self._respond(request, generation, result)
         return None
 
-    async def _emit(self, data: bytes) -> None:
+    async def _send_event(self, data: bytes) -> None:
         if not self._headers_written:
             self.set_header("Content-Type", "text/event-stream")
             self.set_header("Cache-Control", "no-store")
-            # Small writes would wait for the caller's acknowledgement of the
-            # one before, up to 40 ms behind a caller that delays those.
+            # Without this, a small write waits until the caller acknowledges
+            # the previous one, which a delayed acknowledgement postpones by up
+            # to 40 ms.
             self.request.connection.stream.set_nodelay(True)
         await self._write(sse.encode(data))
 
@@ -99,8 +100,8 @@
         flushed = self.flush()
         if flushed.done():
             return
-        # A caller that reads nothing would hold its place on the target, and
-        # the events queued for it, for good.
+        # Without a time limit, a caller that does not read would occupy its
+        # place on the target, and memory for queued events, forever.
         seconds = self.gateway.settings.requests.stream_silence_seconds
         try:
             async with asyncio.timeout(seconds):
@@ -108,27 +109,27 @@
         except TimeoutError:
             raise iostream.StreamClosedError from None
 
-    async def _answer(
+    async def _respond(
         self,
         request: str,
         generation: generation_lib.Generation,
         result: relay_lib.Finished,
     ) -> None:
         if generation.stream:
-            await self._emit(sse.DONE)
+            await self._send_event(sse.DONE)
             await self.finish()
             return
         self.set_header("Content-Type", "application/json")
         await self.finish(
-            msgspec.json.encode(_whole(request, generation, result))
+            msgspec.json.encode(_completion_body(request, generation, result))
         )
 
 
-async def _drop(data: bytes) -> None:
-    """Takes an event of an answer that is sent as a whole at its end."""
+async def _discard_event(data: bytes) -> None:
+    """Discards an event of an answer that is sent only when complete."""
 
 
-def _whole(
+def _completion_body(
     request: str,
     generation: generation_lib.Generation,
     result: relay_lib.Finished,
@@ -152,7 +153,7 @@
     }
 
 
-class _ServiceHandler(handlers.KeyHandler):
+class _ServiceHandler(handlers.AuthenticatedHandler):
     """`/v1/services/NAME/...`."""
 
     _call: service_calls.ServiceCall | None = None
@@ -178,14 +179,14 @@
         service = rules.services.get(self._name)
         allowed = rules.allowed.get(key.team, frozenset())
         if service is None or self._name not in allowed:
-            own = [name for name in allowed if name in rules.services]
-            what = findings.unknown_word("service", self._name, own)
+            available = [name for name in allowed if name in rules.services]
+            what = findings.unknown_word("service", self._name, available)
             return findings.not_run("unknown_service", what, status=404)
-        for name in _KEY_PARAMETERS:
+        for name in _KEY_QUERY_PARAMETERS:
             if self.get_query_argument(name, None) is not None:
                 return findings.not_run(
                     "key_in_request",
-                    f"query parameter {name!r} is not passed on; send your "
+                    f"query parameter {name!r} is not forwarded; send your "
                     "key in the Authorization header only",
                     status=400,
                 )
@@ -207,7 +208,7 @@
             call=self._read_call(),
         )
         self._call = call
-        result = await self.pay(
+        result = await self.run_with_credit(
             request,
             key.team,
             service.cost,
@@ -216,14 +217,14 @@
         )
         if isinstance(result, findings.Failure):
             return result
-        await self._answer(result)
+        await self._respond(result)
         return None
 
     def _read_call(self) -> service_calls.Call:
         headers = {
             name: value
             for name, value in self.request.headers.get_all()
-            if name.lower() not in handlers.NOT_PASSED_ON
+            if name.lower() not in handlers.NOT_FORWARDED_HEADERS
         }
         return service_calls.Call(
             self.request.method or "GET",
@@ -233,7 +234,7 @@
             self.request.headers.get("Idempotency-Key", ""),
         )
 
-    async def _answer(self, result: service_calls.Answer) -> None:
+    async def _respond(self, result: service_calls.Answer) -> None:
         self.set_status(result.status)
         if result.content_type:
             self.set_header("Content-Type", result.content_type)
@@ -248,8 +249,8 @@
         await self.finish()
 
 
-class _ModelsHandler(handlers.KeyHandler):
-    """`/v1/models`: what the caller's team may use."""
+class _ModelsHandler(handlers.AuthenticatedHandler):
+    """`/v1/models`: models and adapters that the caller's team may use."""
 
     async def get(self) -> None:
         key = self.check_key()
@@ -271,20 +272,20 @@
 
 
 class _AddressesHandler(handlers.Handler):
-    """`/v1/addresses`: which hosts a caller should use."""
+    """`/v1/addresses`: hosts to which a caller should connect."""
 
     def get(self) -> None:
         failure = self.gateway.lost_lease()
         if failure is not None:
             self.send_failure(failure)
             return
-        chosen = addresses.choose(
+        selected = addresses.choose(
             self.gateway.hosts,
             caller=self.request.remote_ip or "",
             domain=self.get_query_argument("domain", ""),
         )
         lifetime = self.gateway.settings.timing.address_lifetime_seconds
-        rows = [{"url": host.url, "domain": host.domain} for host in chosen]
+        rows = [{"url": host.url, "domain": host.domain} for host in selected]
         self.set_header("Cache-Control", f"max-age={int(lifetime)}")
         self.write({"addresses": rows, "lifetime_seconds": lifetime})
 
@@ -297,13 +298,13 @@
         self._ready = ready
 
     def get(self) -> None:
-        sound = not self._ready or (
+        is_healthy = not self._ready or (
             self.gateway.leased and not self.gateway.draining
         )
-        self.set_status(200 if sound else 503)
+        self.set_status(200 if is_healthy else 503)
         self.write(
             {
-                "ok": sound,
+                "ok": is_healthy,
                 "leased": self.gateway.leased,
                 "draining": self.gateway.draining,
                 "configuration": self.gateway.view.as_json(),
@@ -339,16 +340,16 @@
         ],
         default_handler_class=_NotFoundHandler,
         default_handler_args=shared,
-        log_function=_no_access_log,
+        log_function=_discard_access_log,
     )
 
 
 class _NotFoundHandler(handlers.Handler):
-    """Everything else."""
+    """All other paths."""
 
     def prepare(self) -> None:
         raise web.HTTPError(404)
 
 
-def _no_access_log(handler: web.RequestHandler) -> None:
-    """Replaces the library's access log: we write one line per event."""
+def _discard_access_log(handler: web.RequestHandler) -> None:
+    """Replaces Tornado's access log; requests are logged as events."""
--- a/packages/endivestream/src/endivestream/process/daemon.py
+++ b/packages/endivestream/src/endivestream/process/daemon.py
@@ -1,12 +1,12 @@
-"""The daemon `endivestreamd`: builds one process and runs it to its end.
+"""The daemon `endivestreamd`: starts, runs and stops one process.
 
-Read this file first. `Daemon` holds everything that lives as long as the
-process, in the order in which it starts:
+Read this file first. `Daemon` owns all services of the process, in the order
+in which they start:
 
     Control    on a control host: the replicated log, leases, limits,
                scheduling, placement
     Gateway    on every host: the configuration lease and the running requests
-    Home       on every host: passes targets' reports on
+    Home       on every host: forwards targets' reports to the leader
     two HTTP servers: for callers, and for operators and targets
 """
 
@@ -50,13 +50,13 @@
 EXIT_START = 3
 EXIT_DISK = 4
 
-# How often a stopping host looks whether its requests have ended.
+# Interval at which a draining host checks whether requests are still running.
 _DRAIN_POLL_SECONDS = 0.05
 _DEFAULT_DATA_FOLDER = "endivestream-data"
 
 
 class Daemon:
-    """One process of the system."""
+    """One process of the system, with all its services."""
 
     def __init__(
         self,
@@ -75,12 +75,12 @@
         self._gateway: gateway_lib.Gateway | None = None
         self._home: home_lib.Home | None = None
         self._servers: list[httpserver.HTTPServer] = []
-        self._stop = asyncio.Event()
-        self._exit = EXIT_OK
+        self._stop_requested = asyncio.Event()
+        self._exit_status = EXIT_OK
 
     @property
     def settings(self) -> settings_lib.Settings:
-        """The settings, with the real addresses after `start`."""
+        """The settings; after `start`, with the addresses actually bound."""
         return self._settings
 
     @property
@@ -92,23 +92,27 @@
     @property
     def control(self) -> control_lib.Control:
         """The control role, after `start` on a control host."""
-        assert self._control is not None, "no control host"
+        assert self._control is not None, "not a started control host"
         return self._control
 
     def request_stop(self, status: int = EXIT_OK) -> None:
-        """Asks for the end; the first status that is not 0 counts."""
-        self._exit = self._exit or status
-        self._stop.set()
+        """Requests a stop.
+
+        Args:
+            status: The exit status. The first one that is not 0 is used.
+        """
+        self._exit_status = self._exit_status or status
+        self._stop_requested.set()
 
     async def start(self) -> None:
-        """Starts all parts.
+        """Starts all services.
 
         Raises:
             storage_lib.CorruptError: The stored data is damaged.
             OSError: A file or an address cannot be used.
         """
-        # Addresses are bound first: with port 0 the system chooses, and the
-        # settings then say what it chose.
+        # Addresses are bound first: with port 0, the operating system chooses
+        # a port, which then replaces the 0 in the settings.
         caller_sockets = self._bind("address")
         inner_sockets = self._bind("inner_address")
         settings = self._settings
@@ -130,7 +134,8 @@
             await self._control.start(
                 form=self._form or settings.is_alone, alone=self._alone
             )
-            # Its own control role first: it knows who leads.
+            # Its own control role comes first, because it has the address of
+            # the leader.
             control = [
                 self._control.address,
                 *(a for a in control if a != self._control.address),
@@ -172,8 +177,8 @@
             sockets = netutil.bind_sockets(int(port), host, backlog=1024)
         except OSError as error:
             raise OSError(f"cannot listen on {address}: {error}") from error
-        real = f"{host}:{sockets[0].getsockname()[1]}"
-        http = dataclasses.replace(self._settings.http, **{key: real})
+        bound_address = f"{host}:{sockets[0].getsockname()[1]}"
+        http = dataclasses.replace(self._settings.http, **{key: bound_address})
         self._settings = dataclasses.replace(self._settings, http=http)
         return sockets
 
@@ -193,19 +198,23 @@
         self._servers.append(server)
 
     async def run(self) -> int:
-        """Runs until asked to stop, then drains; returns the exit status."""
+        """Runs until a stop is requested, then drains.
+
+        Returns:
+            The exit status.
+        """
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self._signalled)
-        await self._stop.wait()
-        if self._exit == EXIT_OK:
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self._on_signal)
+        await self._stop_requested.wait()
+        if self._exit_status == EXIT_OK:
             await self._drain()
         await self.close()
-        logs.event("stopped", status=self._exit)
-        return self._exit
+        logs.event("stopped", status=self._exit_status)
+        return self._exit_status
 
-    def _signalled(self) -> None:
-        if not self._stop.is_set():
+    def _on_signal(self) -> None:
+        if not self._stop_requested.is_set():
             logs.event("stopping", why="signal")
             self.request_stop()
             return
@@ -218,14 +227,14 @@
         )
 
     async def _drain(self) -> None:
-        """Stops without cutting a request.
+        """Drains the host without cutting off a request.
 
-        The host first leaves the address answer. Callers keep that answer for
-        its lifetime, so it goes on taking work until the lifetime and a
-        margin have passed; only then it stops listening.
+        The host is first removed from the address list. Callers cache that
+        list for its lifetime, so the host goes on accepting requests until the
+        lifetime and a margin have passed, and only then stops listening.
         """
         assert self._gateway is not None
-        begun = time.monotonic()
+        started_at = time.monotonic()
         await self._gateway.drain()
         timing = self._settings.timing
         if len(self._gateway.hosts) > 1 or self._gateway.running:
@@ -236,10 +245,10 @@
             server.stop()
         while self._gateway.running:
             await asyncio.sleep(_DRAIN_POLL_SECONDS)
-        logs.event("drained", seconds=time.monotonic() - begun)
+        logs.event("drained", seconds=time.monotonic() - started_at)
 
     async def close(self) -> None:
-        """Closes all parts in the reverse order."""
+        """Closes all services in the reverse order."""
         for server in self._servers:
             server.stop()
             with contextlib.suppress(TimeoutError):
@@ -255,7 +264,7 @@
         self._context.destroy(linger=0)
 
 
-def _parser() -> argparse.ArgumentParser:
+def _build_parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         prog="endivestreamd",
         description="One host of endivestream.",
@@ -292,10 +301,17 @@
     return parser
 
 
-def _settings(
+def _load_settings(
     arguments: argparse.Namespace,
 ) -> settings_lib.Settings | list[findings.Finding]:
-    """Reads the settings file, if any, and applies the command line."""
+    """Returns the settings of the file, if any, and the command line.
+
+    Args:
+        arguments: The parsed command line.
+
+    Returns:
+        The settings, or every finding in the file.
+    """
     host: dict[str, str] = {}
     if arguments.settings is not None:
         loaded = settings_lib.load(arguments.settings)
@@ -323,7 +339,7 @@
     )
 
 
-async def _run(
+async def _run_daemon(
     settings: settings_lib.Settings, *, form: bool, alone: bool
 ) -> int:
     daemon = Daemon(settings=settings, form=form, alone=alone)
@@ -338,14 +354,14 @@
 
 def main() -> None:
     """Entry point of `endivestreamd`."""
-    arguments = _parser().parse_args()
+    arguments = _build_parser().parse_args()
     if arguments.show_settings:
         print(settings_lib.show())
         sys.exit(EXIT_OK)
-    settings = _settings(arguments)
+    settings = _load_settings(arguments)
     if not isinstance(settings, settings_lib.Settings):
-        for found in settings:
-            print(found, file=sys.stderr)
+        for finding in settings:
+            print(finding, file=sys.stderr)
         sys.exit(EXIT_SETTINGS)
     if arguments.check:
         print("ok")
@@ -353,6 +369,8 @@
     logs.start(level=settings.host.log_level, host=settings.host.name)
     sys.exit(
         asyncio.run(
-            _run(settings, form=arguments.form, alone=arguments.stand_alone)
+            _run_daemon(
+                settings, form=arguments.form, alone=arguments.stand_alone
+            )
         )
     )
--- a/packages/endivestream/src/endivestream/process/gateway.py
+++ b/packages/endivestream/src/endivestream/process/gateway.py
@@ -1,8 +1,8 @@
 """A host's gateway: its lease, its copy of the configuration, its requests.
 
-The gateway decides with what it has in force, and only while its lease runs.
-Credit and places come from the control host; see `admission` for the order in
-which a request passes them.
+The gateway acts on its copy of the configuration, and only while its lease is
+valid. Credit and places on targets are granted by the control host; see
+`admission` for the order in which a request obtains them.
 """
 
 from __future__ import annotations
@@ -29,18 +29,20 @@
 from endivestream.version import configuration as configuration_lib
 from endivestream.version import state as state_lib
 
-# Endings gather for this long, so that a busy gateway sends few messages.
-_GATHER_SECONDS = 0.02
-# A link's own time limit, and what a caller is told to wait for it.
-_RETRY_AFTER_LINK = 1.0
+# Completions are batched for this long, so that a busy gateway sends few
+# messages.
+_BATCH_SECONDS = 0.02
+# Sent to callers as the time until a retry while no leader can be reached.
+# Equals a link's own time limit.
+_LINK_RETRY_AFTER_SECONDS = 1.0
 
 
-class Running:
-    """A caller's request while it runs, so that it can be ended from outside.
+class RunningRequest:
+    """A caller's running request, which other tasks can cancel.
 
     Attributes:
         key: The caller's key.
-        team: Its team.
+        team: The key's team.
         request: The request's id.
     """
 
@@ -55,22 +57,22 @@
         self.team = key.team
         self.request = request
         self._task = task
-        self._ended: findings.Failure | None = None
+        self._cancel_reason: findings.Failure | None = None
 
     @property
-    def ended(self) -> findings.Failure | None:
-        """Why it was ended from outside, or None."""
-        return self._ended
-
-    def end(self, failure: findings.Failure) -> None:
-        """Cancels the request's task, leaving the reason for it to find."""
-        if self._ended is None:
-            self._ended = failure
+    def cancel_reason(self) -> findings.Failure | None:
+        """Why the request was cancelled; None if it was not."""
+        return self._cancel_reason
+
+    def cancel(self, failure: findings.Failure) -> None:
+        """Cancels the request's task and records the reason."""
+        if self._cancel_reason is None:
+            self._cancel_reason = failure
             self._task.cancel()
 
 
 class Gateway:
-    """The parts of a gateway that outlive a request."""
+    """State of a gateway that requests share, and its link to the leader."""
 
     def __init__(
         self,
@@ -89,27 +91,27 @@
         self._lease_until = 0.0
         self._hosts: list[messages.HostInfo] = []
         self._hosts_version = 0
-        self._running: dict[str, Running] = {}
+        self._running: dict[str, RunningRequest] = {}
         self._sequence = itertools.count(1)
-        self._news = asyncio.Event()
+        self._renewal_due = asyncio.Event()
         self._leader_listeners: list[Callable[[], None]] = []
-        self._endings: list[messages.Ending] = []
+        self._completions: list[messages.Ending] = []
         self._commands: list[state_lib.Command] = []
-        self._ending = asyncio.Event()
+        self._completion_queued = asyncio.Event()
         self._link = leader_link.LeaderLink(
             addresses=control,
             context=context,
-            on_push=self._pushed,
+            on_push=self._on_push,
             silence=settings.peers.silence_seconds,
             attempt_seconds=settings.timing.election_seconds,
-            on_move=self._leader_moved,
+            on_move=self._on_leader_moved,
             keys=keys,
         )
         self._tasks: list[asyncio.Task[None]] = []
 
     @property
     def view(self) -> configuration_lib.View:
-        """The configuration in force here."""
+        """The configuration in force on this host."""
         return self._view
 
     @property
@@ -124,12 +126,12 @@
 
     @property
     def hosts(self) -> list[messages.HostInfo]:
-        """All live hosts, as of the last renewal."""
+        """All live hosts, as of the last lease renewal."""
         return self._hosts
 
     @property
     def host(self) -> messages.HostInfo:
-        """This host, as others see it."""
+        """The description of this host that is sent to other hosts."""
         return messages.HostInfo(
             self._settings.host.name,
             self._incarnation,
@@ -141,69 +143,73 @@
 
     @property
     def draining(self) -> bool:
-        """Whether this host is about to stop."""
+        """Whether this host is draining before it stops."""
         return self._draining
 
     @property
     def leased(self) -> bool:
-        """Whether new work may be taken.
+        """Whether this host holds a valid lease and may accept requests.
 
-        A host that was cut off would go on serving a withdrawn key or old
-        rules (symptom: a revoked key works on one host only). Without a lease
-        it refuses, and a change is in force once leases have run out.
+        Without leases, a host that lost its connection would go on serving a
+        withdrawn key or old rules (symptom: a revoked key works on one host
+        only). With them, it refuses requests after its lease has expired, and
+        a change is in force once all older leases have expired.
         """
         return time.monotonic() < self._lease_until
 
     def lost_lease(self) -> findings.Failure | None:
-        """Returns why new work may not be taken, or None if it may."""
+        """Returns why requests are refused, or None if they are accepted."""
         if self.leased:
             return None
         return findings.not_run(
             "no_lease",
-            "this host is cut off from the configuration; use another",
+            "this host has no valid configuration lease; use another host",
             status=503,
             retry_after=1.0,
         )
 
     @property
     def running(self) -> int:
-        """How many requests of callers run."""
+        """The number of running requests."""
         return len(self._running)
 
     def start(self) -> None:
-        """Connects to the control leader and starts to renew the lease."""
+        """Connects to the control leader and starts lease renewals."""
         self._link.start()
         self._tasks = [
-            asyncio.create_task(self._watch()),
-            asyncio.create_task(self._send_endings()),
+            asyncio.create_task(self._run_renewals()),
+            asyncio.create_task(self._send_completions()),
         ]
 
     async def close(self) -> None:
-        """Hands the last endings over, then disconnects."""
+        """Sends the last completions, then disconnects."""
         await tasks.cancel(self._tasks)
         with contextlib.suppress(links.LinkDownError):
-            await self._flush_endings()
+            await self._flush_completions()
         await self._link.close()
 
     async def drain(self) -> None:
-        """Has this host left out of the address answer before it stops."""
+        """Has this host removed from the address lists that callers get."""
         self._draining = True
         with contextlib.suppress(links.LinkDownError):
             await self._renew()
 
     def new_id(self) -> str:
-        """Returns an id no other request or attempt has."""
+        """Returns a unique id for a request or an attempt."""
         number = next(self._sequence)
         return f"{self._settings.host.name}-{self._incarnation:x}-{number:x}"
 
     @property
     def holder(self) -> str:
-        """This process, as the holder of non-idempotent calls."""
+        """The name of this process as the holder of non-idempotent calls."""
         return f"{self._settings.host.name}/{self._incarnation}"
 
     @contextlib.contextmanager
-    def track(self, running: Running) -> Iterator[None]:
-        """Keeps a request reachable for withdrawal of its key."""
+    def track(self, running: RunningRequest) -> Iterator[None]:
+        """Registers a request while it runs.
+
+        The request is cancelled if its key is withdrawn.
+        """
         self._running[running.request] = running
         self._metrics.running.inc()
         try:
@@ -212,25 +218,25 @@
             del self._running[running.request]
             self._metrics.running.dec()
 
-    def list_running(self) -> list[Running]:
-        """Returns what runs, for a stop's last words."""
+    def list_running(self) -> list[RunningRequest]:
+        """Returns the running requests."""
         return list(self._running.values())
 
-    async def _watch(self) -> None:
+    async def _run_renewals(self) -> None:
         while True:
             try:
                 await self._renew()
             except links.LinkDownError as error:
                 logs.warn("lease_not_renewed", why=error)
-            left = max(0.0, self._lease_until - time.monotonic())
-            self._metrics.lease_left.set(left)
-            self._news.clear()
+            remaining = max(0.0, self._lease_until - time.monotonic())
+            self._metrics.lease_left.set(remaining)
+            self._renewal_due.clear()
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(self._settings.timing.watch_seconds):
-                    await self._news.wait()
+                    await self._renewal_due.wait()
 
     async def _renew(self) -> None:
-        sent = time.monotonic()
+        sent_at = time.monotonic()
         answer = await self.ask(
             messages.Watch(
                 host=self.host,
@@ -244,21 +250,23 @@
         if not isinstance(answer, messages.Lease):
             return
         if answer.update is not None:
-            self._take(answer.update)
+            self._apply_update(answer.update)
         if self._view.version < answer.version:
-            return  # Not up to date: no lease on what is not in force here.
-        # Counted from the sending, so that the control host, which counts
-        # from the hearing, never calls a lease over before its holder does.
-        self._lease_until = sent + answer.seconds
+            # The host's configuration is outdated, so its lease is not renewed.
+            return
+        # Counted from the time of sending. The control host counts from the
+        # time of receipt, so the lease never expires there before it does here.
+        self._lease_until = sent_at + answer.seconds
         if answer.hosts is not None:
             self._hosts = answer.hosts
             self._hosts_version = answer.hosts_version
         if answer.update is not None:
-            # Acknowledge at once: somebody may wait for "in force".
-            self._news.set()
+            # Acknowledged immediately: an operator may be waiting until the
+            # change is in force.
+            self._renewal_due.set()
             await self._renew()
 
-    def _take(self, update: configuration_lib.Update) -> None:
+    def _apply_update(self, update: configuration_lib.Update) -> None:
         withdrawn = self._view.update(update)
         if withdrawn is None:
             logs.warn(
@@ -269,23 +277,27 @@
         self._metrics.version.set(update.version)
         for running in list(self._running.values()):
             if not self._view.is_live(running.key.digest):
-                running.end(_withdrawn(running.key))
+                running.cancel(_key_withdrawn_failure(running.key))
 
-    def on_leader_change(self, tell: Callable[[], None]) -> None:
-        """Has `tell` called whenever another leader may be asked."""
-        self._leader_listeners.append(tell)
+    def on_leader_change(self, listener: Callable[[], None]) -> None:
+        """Registers a function to call when there may be a new leader.
 
-    def _leader_moved(self) -> None:
-        self._news.set()
-        for tell in self._leader_listeners:
-            tell()
+        Args:
+            listener: The function.
+        """
+        self._leader_listeners.append(listener)
+
+    def _on_leader_moved(self) -> None:
+        self._renewal_due.set()
+        for listener in self._leader_listeners:
+            listener()
 
-    def _pushed(self, message: messages.Message) -> None:
+    def _on_push(self, message: messages.Message) -> None:
         if isinstance(message, messages.Lease) and (
             message.version > self._view.version
             or message.hosts_version != self._hosts_version
         ):
-            self._news.set()
+            self._renewal_due.set()
 
     async def ask(
         self,
@@ -294,7 +306,18 @@
         seconds: float,
         answer_seconds: float = 0.0,
     ) -> messages.Message:
-        """Asks the control leader; raises links.LinkDownError."""
+        """Sends a request to the control leader and returns its answer.
+
+        Args:
+            message: The request.
+            seconds: Time limit for the request, with its retries.
+            answer_seconds: Time that a leader may take to answer, if that is
+                longer than for other requests.
+
+        Raises:
+            links.LinkDownError: No leader answered in time. The request may
+                have taken effect.
+        """
         return await self._link.request(
             message, seconds=seconds, answer_seconds=answer_seconds
         )
@@ -302,16 +325,16 @@
     async def charge(
         self, message: messages.Charge
     ) -> messages.Charged | messages.Refused:
-        """Asks for a team's credit; a lost link refuses it."""
-        return await self._ask_patiently(message, message.patience)
+        """Requests a team's credit; refused if no leader answers."""
+        return await self._request_with_patience(message, message.patience)
 
     async def ticket(
         self, message: messages.AskTicket
     ) -> messages.Ticket | messages.Refused:
-        """Asks for a place on a target; a lost link refuses it."""
-        return await self._ask_patiently(message, message.patience)
+        """Requests a place on a target; refused if no leader answers."""
+        return await self._request_with_patience(message, message.patience)
 
-    async def _ask_patiently(
+    async def _request_with_patience(
         self, message: messages.Message, patience: float
     ) -> Any:
         seconds = patience + self._settings.peers.request_seconds
@@ -323,11 +346,15 @@
             return messages.Refused(
                 reason="control_unreachable",
                 detail=f"no control leader answers ({error})",
-                retry_after=_RETRY_AFTER_LINK,
+                retry_after=_LINK_RETRY_AFTER_SECONDS,
             )
 
     async def propose(self, command: state_lib.Command) -> state_lib.Result:
-        """Has a command committed; raises links.LinkDownError."""
+        """Has the leader commit a command and returns the result.
+
+        Raises:
+            links.LinkDownError: No leader answered in time.
+        """
         answer = await self.ask(
             messages.Propose(command=command),
             seconds=self._settings.peers.request_seconds,
@@ -337,48 +364,53 @@
         return answer.result
 
     def propose_surely(self, command: state_lib.Command) -> None:
-        """Has a command committed even if the control host is away for now.
+        """Queues a command and sends it until the leader has committed it.
 
-        For commands that may be applied twice, such as the end of a call.
+        Only for idempotent commands, such as the end of a call.
         """
         self._commands.append(command)
-        self._ending.set()
+        self._completion_queued.set()
 
     def end(self, ending: messages.Ending) -> None:
-        """Gives credit and place back, surely and soon."""
-        self._endings.append(ending)
-        self._ending.set()
+        """Queues a completion, which is sent until the leader receives it.
+
+        The leader then releases the request's unused credit and its place.
+        """
+        self._completions.append(ending)
+        self._completion_queued.set()
 
-    async def _send_endings(self) -> None:
+    async def _send_completions(self) -> None:
         while True:
-            await self._ending.wait()
-            self._ending.clear()
+            await self._completion_queued.wait()
+            self._completion_queued.clear()
             try:
-                await self._flush_endings()
+                await self._flush_completions()
             except links.LinkDownError as error:
-                # They are kept and sent again. A lost ending would hold a
-                # place on a target, and a team's credit, for good.
-                count = len(self._endings) + len(self._commands)
-                logs.warn("endings_kept", count=count, why=error)
-                self._ending.set()
-            await asyncio.sleep(_GATHER_SECONDS)
-
-    async def _flush_endings(self) -> None:
-        # One flush at a time: two would each take the same batch off the
-        # list, and the second would take endings that were never sent.
+                # The completions are kept and sent again. A lost completion
+                # would leak a place on a target and a team's credit.
+                count = len(self._completions) + len(self._commands)
+                logs.warn("completions_deferred", count=count, why=error)
+                self._completion_queued.set()
+            await asyncio.sleep(_BATCH_SECONDS)
+
+    async def _flush_completions(self) -> None:
+        # Only one flush may run at a time. Two would send the same batch, and
+        # the second would then delete completions that were never sent.
         while self._commands:
             await self.propose(self._commands[0])
             del self._commands[0]
-        batch = list(self._endings)
+        batch = list(self._completions)
         if batch:
             await self.ask(
                 messages.Endings(endings=batch),
                 seconds=self._settings.peers.request_seconds,
             )
-            del self._endings[: len(batch)]
+            del self._completions[: len(batch)]
 
 
-def _withdrawn(key: configuration_lib.KeyRecord) -> findings.Failure:
+def _key_withdrawn_failure(
+    key: configuration_lib.KeyRecord,
+) -> findings.Failure:
     return findings.Failure(
         outcome=findings.Outcome.FAILED,
         reason="key_withdrawn",
--- a/packages/endivestream/src/endivestream/process/handlers.py
+++ b/packages/endivestream/src/endivestream/process/handlers.py
@@ -1,7 +1,7 @@
-"""What all routes for callers have in common: keys, credit, failures.
+"""Base classes of all routes for callers: keys, credit, failures.
 
-Each request runs in a task of its own beside the handler, so that it can be
-ended from outside: by a withdrawn key, or because the caller has left.
+Each request runs in its own task beside the handler, so that it can be
+cancelled: when its key is withdrawn or its caller disconnects.
 """
 
 from __future__ import annotations
@@ -31,9 +31,9 @@
 
 _Result = TypeVar("_Result")
 
-# Headers that belong to one connection, or that would show a target the
-# caller's key.
-NOT_PASSED_ON = frozenset(
+# Headers that are not forwarded to targets: they apply to one connection only,
+# or would expose the caller's key.
+NOT_FORWARDED_HEADERS = frozenset(
     [
         "accept-encoding",
         "authorization",
@@ -56,13 +56,13 @@
 
 
 class Parts(NamedTuple):
-    """What all handlers share.
+    """Services that all handlers share.
 
     Attributes:
         gateway: The process's gateway.
         pool: Connections to targets.
         budget: The retry budget.
-        rng: Source of jitter.
+        rng: Random numbers for jitter.
     """
 
     gateway: gateway_lib.Gateway
@@ -72,25 +72,25 @@
 
 
 class Handler(web.RequestHandler):
-    """What all routes for callers have in common."""
+    """Base class of all routes for callers."""
 
     def initialize(self, parts: Parts) -> None:
-        """Takes what the routes share; the library calls this."""
+        """Stores the shared services; Tornado calls this."""
         self.parts = parts
         self.gateway = parts.gateway
 
     def set_default_headers(self) -> None:
-        """Names the product and nothing more."""
+        """Sets a server name without the versions of the software."""
         self.set_header("Server", "endivestream")
 
     def prepare(self) -> None:
-        """Has callers of a stopping host go elsewhere."""
+        """Has callers of a draining host connect to another host."""
         if self.gateway.draining:
-            # A caller that keeps this connection would be cut by the stop.
+            # A connection that stays open would be cut off by the stop.
             self.set_header("Connection", "close")
 
     def send_failure(self, failure: findings.Failure) -> None:
-        """Answers with a failure, or ends a begun stream with it."""
+        """Responds with a failure, or ends a started stream with it."""
         if not self._headers_written:
             self.set_status(failure.status)
             if failure.retry_after is not None and failure.retry_after >= 0:
@@ -99,12 +99,13 @@
             self.set_header("Content-Type", "application/json")
             self.finish(msgspec.json.encode(failure.as_json()))
             return
-        # A typed end, and no final marker: it cannot be taken for whole.
+        # The stream ends with a typed error and without the final marker, so
+        # that callers cannot mistake it for complete.
         self.write(sse.encode(msgspec.json.encode(failure.as_json())))
         self.finish()
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Answers a fault that no route handled, in the usual shape."""
+        """Responds to an error that no route handled, in the usual format."""
         outcome = findings.Outcome.UNKNOWN
         if status_code in (404, 405):
             outcome = findings.Outcome.NOT_RUN
@@ -117,14 +118,14 @@
         self.send_failure(failure)
 
 
-class KeyHandler(Handler):
-    """A route that needs a key."""
+class AuthenticatedHandler(Handler):
+    """Base class of routes that require a key."""
 
-    _work: asyncio.Task[findings.Failure | None] | None = None
-    _running: gateway_lib.Running | None = None
+    _task: asyncio.Task[findings.Failure | None] | None = None
+    _running: gateway_lib.RunningRequest | None = None
 
     def check_key(self) -> configuration_lib.KeyRecord | findings.Failure:
-        """Returns the caller's key, if this host may act on it."""
+        """Returns the caller's key, or why the request is refused."""
         failure = self.gateway.lost_lease()
         if failure is not None:
             return failure
@@ -142,52 +143,57 @@
             return findings.not_run(
                 "key_unknown", "this key is not valid", status=401
             )
-        if self._leaks(presented):
+        if self._exposes_key(presented):
             return findings.not_run(
                 "key_in_request",
-                "the key stands in the address or body, where a target would "
-                "see it; send it in the Authorization header only",
+                "the URL, a header or the body contains the key and would "
+                "expose it to targets; send it in the Authorization header "
+                "only",
                 status=400,
             )
         return key
 
-    def _leaks(self, presented: str) -> bool:
+    def _exposes_key(self, presented: str) -> bool:
         request = self.request
         if presented in request.uri or presented.encode() in request.body:
             return True
         return any(
             presented in value
             for name, value in request.headers.get_all()
-            if name.lower() not in NOT_PASSED_ON
+            if name.lower() not in NOT_FORWARDED_HEADERS
         )
 
     async def serve(self, kind: str) -> None:
-        """Runs `work` under the caller's key, and answers what it gives."""
-        begun = time.monotonic()
+        """Runs `work` with the caller's key and sends its failure, if any."""
+        started_at = time.monotonic()
         request = self.gateway.new_id()
         self.set_header("Endivestream-Request", request)
         key = self.check_key()
         if isinstance(key, findings.Failure):
-            self._log_end(kind, request, None, key, begun)
+            self._record_end(kind, request, None, key, started_at)
             self.send_failure(key)
             return
-        self._work = asyncio.create_task(self.work(request, key))
-        running = gateway_lib.Running(key=key, request=request, task=self._work)
+        self._task = asyncio.create_task(self.work(request, key))
+        running = gateway_lib.RunningRequest(
+            key=key, request=request, task=self._task
+        )
         self._running = running
         with self.gateway.track(running):
             try:
-                failure = await self._work
+                failure = await self._task
             except asyncio.CancelledError:
-                if running.ended is None:
+                if running.cancel_reason is None:
                     raise
-                failure = self._ended(running.ended)
+                failure = self._cancellation_failure(running.cancel_reason)
             except iostream.StreamClosedError:
-                failure = _caller_left()
-        self._log_end(kind, request, key, failure, begun)
+                failure = _caller_disconnected()
+        self._record_end(kind, request, key, failure, started_at)
         if failure is not None and not self.request.connection.stream.closed():
             self.send_failure(failure)
 
-    def _ended(self, failure: findings.Failure) -> findings.Failure:
+    def _cancellation_failure(
+        self, failure: findings.Failure
+    ) -> findings.Failure:
         if self.sent:
             return failure
         return findings.not_run(
@@ -202,29 +208,29 @@
     async def work(
         self, request: str, key: configuration_lib.KeyRecord
     ) -> findings.Failure | None:
-        """Does the request; returns a failure to send, or None."""
+        """Processes the request; returns a failure to send, or None."""
         raise NotImplementedError
 
     def on_connection_close(self) -> None:
-        """Ends the work of a caller that has left."""
+        """Cancels the request of a caller that has disconnected."""
         if self._running is not None:
-            self._running.end(_caller_left())
+            self._running.cancel(_caller_disconnected())
 
     def patience(self) -> float:
-        """Seconds the caller is ready to wait for a place."""
-        said = self._said_patience()
-        most = self.gateway.settings.requests.queue_seconds
-        return most if said is None else min(most, said)
+        """Returns how many seconds the request may wait for a place."""
+        requested = self._requested_patience()
+        limit = self.gateway.settings.requests.queue_seconds
+        return limit if requested is None else min(limit, requested)
 
-    def _said_patience(self) -> float | None:
-        """Seconds the caller says it is ready to wait, if it does."""
+    def _requested_patience(self) -> float | None:
+        """Returns the maximum wait that the caller requested, or None."""
         text = self.request.headers.get("Endivestream-Patience", "")
         try:
             return max(0.0, float(text))
         except ValueError:
             return None
 
-    async def pay(
+    async def run_with_credit(
         self,
         request: str,
         team: str,
@@ -232,14 +238,14 @@
         run: Callable[[], Awaitable[_Result]],
         used: Callable[[], int],
     ) -> _Result | findings.Failure:
-        """Runs work under the team's credit, and gives back what is left.
+        """Charges the team, runs the work and refunds the unused credit.
 
         Args:
             request: The request's id.
-            team: Its team.
-            tokens: The most it can cost.
+            team: The request's team.
+            tokens: The maximum cost of the request.
             run: Does the work.
-            used: Tells what it did cost, once it has ended in any way.
+            used: Returns the actual cost, after the work has ended in any way.
         """
         cost = 0
         try:
@@ -256,7 +262,7 @@
             )
 
     def attempts(self, work: attempts_lib.Work) -> attempts_lib.Attempts:
-        """Returns the attempts of a request."""
+        """Creates the attempts of a request."""
         return attempts_lib.Attempts(
             gateway=self.gateway,
             budget=self.parts.budget,
@@ -267,21 +273,24 @@
     async def _charge(
         self, request: str, team: str, tokens: int
     ) -> findings.Failure | None:
-        """Takes the team's credit; returns why not.
+        """Takes the team's credit; returns a failure if it is refused.
 
-        A team without credit is over its rate. Its requests could wait as
-        long as for a place, but then each would wait so long: the queue is
-        always as long as it may be, and no first token comes in time.
+        By default, requests wait for credit less long than for a place. A team
+        without credit is over its rate, so its queue always grows to the
+        maximum wait. With a long maximum, every request would wait for that
+        long, and no first token would arrive in time.
         """
-        firm = self._said_patience() is not None
-        usual = self.gateway.settings.requests.credit_seconds
+        has_own_patience = self._requested_patience() is not None
+        default_patience = self.gateway.settings.requests.credit_seconds
         answer = await self.gateway.charge(
             messages.Charge(
                 team=team,
                 request=request,
                 tokens=tokens,
-                patience=self.patience() if firm else usual,
-                firm=firm,
+                patience=(
+                    self.patience() if has_own_patience else default_patience
+                ),
+                firm=has_own_patience,
             )
         )
         if isinstance(answer, messages.Charged):
@@ -294,13 +303,13 @@
             retry_after=answer.retry_after if answer.retry_after >= 0 else None,
         )
 
-    def _log_end(
+    def _record_end(
         self,
         kind: str,
         request: str,
         key: configuration_lib.KeyRecord | None,
         failure: findings.Failure | None,
-        begun: float,
+        started_at: float,
     ) -> None:
         outcome = str(failure.outcome) if failure else "ok"
         reason = failure.reason if failure else ""
@@ -313,11 +322,11 @@
             key=key.label if key else "",
             outcome=outcome,
             reason=reason,
-            ms=(time.monotonic() - begun) * 1000,
+            ms=(time.monotonic() - started_at) * 1000,
         )
 
 
-def _caller_left() -> findings.Failure:
+def _caller_disconnected() -> findings.Failure:
     return findings.Failure(
         outcome=findings.Outcome.FAILED,
         reason="caller_left",
--- a/packages/endivestream/src/endivestream/process/home.py
+++ b/packages/endivestream/src/endivestream/process/home.py
@@ -1,7 +1,9 @@
-"""The gateway's part as home of targets: passes their reports on, packed.
+"""Home gateway of targets: forwards their reports to the leader in batches.
 
-The home remembers what its targets announced and last reported. A new leader
-knows no target; the homes tell it at once, so that targets need not notice.
+The home gateway keeps the announcement and the last report of each of its
+targets. A new leader starts without any target. The home gateways then forward
+everything to it immediately, so that targets need not announce themselves
+again.
 """
 
 from __future__ import annotations
@@ -16,43 +18,51 @@
 from endivestream.connection import links
 from endivestream.process import gateway as gateway_lib
 
-# Reports gather for this long. It adds to the time until a leaving target
-# gets no new work, and is small beside the second between reports.
-_GATHER_SECONDS = 0.1
-# A report older than this many report times is not passed on: it would make
-# a target that fell silent look alive.
-_FRESH_REPORTS = 1.5
-# A target that reports elsewhere by now, or nowhere, is forgotten.
-_FORGET_SECONDS = 60.0
+# Reports are batched for this long. It adds to the time until a departing
+# target gets no new requests, and is short compared with the second between
+# reports.
+_BATCH_SECONDS = 0.1
+# A report older than this many report intervals is not forwarded: a silent
+# target would appear to be live.
+_MAX_REPORT_AGE_INTERVALS = 1.5
+# A target without reports for this long is removed. It may have another home
+# gateway by then, or none.
+_REMOVE_AFTER_SECONDS = 60.0
 
 
-class _Target(NamedTuple):
+class _TargetState(NamedTuple):
     info: messages.TargetInfo
     report: messages.TargetReport | None
-    heard: float
+    last_report_at: float
 
 
 class Home:
-    """Passes on what the targets that report here say."""
+    """Forwards the reports of targets whose home gateway is this host."""
 
     def __init__(self, *, gateway: gateway_lib.Gateway) -> None:
         self._gateway = gateway
-        self._targets: dict[str, _Target] = {}
+        self._targets: dict[str, _TargetState] = {}
         self._changed: set[str] = set()
-        self._news = asyncio.Event()
+        self._reports_due = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Starts to pass reports on."""
-        self._gateway.on_leader_change(self._tell_all)
-        self._task = asyncio.create_task(self._run())
+        """Starts to forward reports."""
+        self._gateway.on_leader_change(self._queue_all)
+        self._task = asyncio.create_task(self._run_forwarding())
 
     async def close(self) -> None:
-        """Stops; what was not passed on comes with the next report."""
+        """Stops; reports not yet forwarded are replaced by later ones."""
         await tasks.cancel([self._task])
 
     async def announce(self, info: messages.TargetInfo) -> str:
-        """Passes an announcement on; returns why it is refused, or empty.
+        """Forwards the announcement of a target to the leader.
+
+        Args:
+            info: The announcement.
+
+        Returns:
+            Why the leader refused it, or an empty string.
 
         Raises:
             links.LinkDownError: No leader answered.
@@ -63,45 +73,54 @@
         )
         assert isinstance(answer, messages.Known), answer
         if not answer.reason:
-            self._targets[info.name] = _Target(info, None, time.monotonic())
+            self._targets[info.name] = _TargetState(
+                info, None, time.monotonic()
+            )
         return answer.reason
 
     def report(self, report: messages.TargetReport) -> bool:
-        """Takes a report in; False if the target must announce itself."""
+        """Queues a target's report for the leader.
+
+        Args:
+            report: The report.
+
+        Returns:
+            False if the target must announce itself first.
+        """
         known = self._targets.get(report.name)
         if known is None or known.info.incarnation != report.incarnation:
             return False
         last = known.report
         if last is None or last.sequence < report.sequence:
             self._targets[report.name] = known._replace(
-                report=report, heard=time.monotonic()
+                report=report, last_report_at=time.monotonic()
             )
             self._changed.add(report.name)
-            self._news.set()
+            self._reports_due.set()
         return True
 
-    def _tell_all(self) -> None:
-        """Has everything told again, to a leader that may know nothing."""
-        gone = time.monotonic() - _FORGET_SECONDS
+    def _queue_all(self) -> None:
+        """Queues all reports, for a new leader that may have none of them."""
+        oldest = time.monotonic() - _REMOVE_AFTER_SECONDS
         for name, target in list(self._targets.items()):
-            if target.heard < gone:
+            if target.last_report_at < oldest:
                 del self._targets[name]
         self._changed.update(self._targets)
-        self._news.set()
+        self._reports_due.set()
 
-    async def _run(self) -> None:
+    async def _run_forwarding(self) -> None:
         while True:
-            await self._news.wait()
-            await asyncio.sleep(_GATHER_SECONDS)
-            self._news.clear()
+            await self._reports_due.wait()
+            await asyncio.sleep(_BATCH_SECONDS)
+            self._reports_due.clear()
             changed, self._changed = self._changed, set()
             try:
-                await self._pass_on(changed)
+                await self._forward(changed)
             except links.LinkDownError as error:
-                # Stale by design: the next reports replace these.
+                # These reports are not sent again: the next ones replace them.
                 logs.warn("reports_lost", count=len(changed), why=error)
 
-    async def _pass_on(self, names: set[str]) -> None:
+    async def _forward(self, names: set[str]) -> None:
         unknown = await self._send_reports(names)
         if not unknown:
             return
@@ -111,17 +130,24 @@
         await self._send_reports(set(unknown))
 
     async def _announce_again(self, name: str) -> None:
-        """Tells a leader that does not know it what a target announced."""
+        """Forwards a target's announcement to a leader that lacks it."""
         known = self._targets[name]
-        refused = await self.announce(known.info)
-        if refused:
+        refusal = await self.announce(known.info)
+        if refusal:
             del self._targets[name]
-            logs.warn("target_refused", target=name, why=refused)
+            logs.warn("target_refused", target=name, why=refusal)
         else:
             self._targets[name] = known
 
     async def _send_reports(self, names: set[str]) -> list[str]:
-        """Sends the named targets' reports; returns whom nobody knows."""
+        """Sends targets' reports to the leader.
+
+        Args:
+            names: The targets.
+
+        Returns:
+            Targets whose announcement the leader lacks.
+        """
         seconds = self._gateway.settings.timing.report_seconds
         now = time.monotonic()
         reports = [
@@ -129,7 +155,8 @@
             for name in sorted(names & self._targets.keys())
             for target in [self._targets[name]]
             if target.report is not None
-            and now - target.heard < _FRESH_REPORTS * seconds
+            and now - target.last_report_at
+            < _MAX_REPORT_AGE_INTERVALS * seconds
         ]
         if not reports:
             return []
--- a/packages/endivestream/src/endivestream/process/inner.py
+++ b/packages/endivestream/src/endivestream/process/inner.py
@@ -1,4 +1,4 @@
-"""HTTP routes for operators and for targets, on the inner address."""
+"""HTTP routes for operators and targets, on the inner address."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from endivestream.version import configuration as configuration_lib
 from endivestream.version import rules as rules_lib
 
-# How often a waiting operator's change is asked about.
+# Interval of the queries whether an operator's change is in force.
 _POLL_SECONDS = 0.1
 
 
@@ -53,7 +53,7 @@
 
 
 class _Handler(web.RequestHandler):
-    """What all inner routes have in common."""
+    """Base class of all routes on the inner address."""
 
     def initialize(
         self, gateway: gateway_lib.Gateway, home: home_lib.Home, token: str
@@ -69,41 +69,49 @@
         if not hmac.compare_digest(
             header.encode(), f"Bearer {self._token}".encode()
         ):
-            self.fail(
+            self.send_findings(
                 401, "token_wrong", ["send 'Authorization: Bearer TOKEN'"]
             )
 
-    def homes(self, target: str) -> list[str]:
-        """Returns where a target should report, the best first."""
+    def home_gateway_urls(self, target: str) -> list[str]:
+        """Returns the URLs to which a target should report, best first."""
         hosts = addresses.homes(self.gateway.hosts, target=target)
         return [host.inner_url for host in hosts]
 
-    def fail(self, status: int, reason: str, found: list[str]) -> None:
-        """Answers with findings."""
+    def send_findings(self, status: int, reason: str, found: list[str]) -> None:
+        """Responds with an error and its findings."""
         self.set_status(status)
         self.finish({"error": {"type": reason, "findings": found}})
 
-    def read(self, kind: Any) -> Any:
-        """Reads the body as `kind`; answers and returns None if it is not."""
+    def read_body(self, kind: Any) -> Any:
+        """Decodes the body as `kind`; responds with an error if it fails.
+
+        Returns:
+            The decoded body, or None after an error.
+        """
         try:
             return msgspec.json.decode(self.request.body, type=kind)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            self.fail(400, "invalid_body", [str(error)])
+            self.send_findings(400, "invalid_body", [str(error)])
             return None
 
-    async def ask(self, message: messages.Message) -> Any:
-        """Asks the control host; answers and returns None if it is away."""
+    async def request_leader(self, message: messages.Message) -> Any:
+        """Sends a request to the leader; responds with an error if it fails.
+
+        Returns:
+            The leader's answer, or None after an error.
+        """
         seconds = self.gateway.settings.peers.request_seconds
         try:
             return await self.gateway.ask(message, seconds=seconds)
         except links.LinkDownError as error:
-            # A change may have been accepted all the same; the same change id
-            # sent again tells.
-            self.fail(503, "control_unreachable", [str(error)])
+            # The change may have been accepted nevertheless. The operator can
+            # send it again with the same change id, which is idempotent.
+            self.send_findings(503, "control_unreachable", [str(error)])
             return None
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        self.fail(status_code, "error", [self._reason])
+        self.send_findings(status_code, "error", [self._reason])
 
 
 class _ViewHandler(_Handler):
@@ -112,26 +120,26 @@
     async def get(self, view: str) -> None:
         if view not in views.VIEWS:
             what = findings.unknown_word("view", view, views.VIEWS)
-            self.fail(404, "unknown_view", [what])
+            self.send_findings(404, "unknown_view", [what])
             return
-        answer = await self.ask(messages.AskStatus(view=view))
+        answer = await self.request_leader(messages.AskStatus(view=view))
         if answer is not None:
             self.set_header("Content-Type", "application/json")
             self.finish(answer.body)
 
 
 class _ChangeHandler(_Handler):
-    """What the routes that change the configuration have in common."""
+    """Base class of routes that change the configuration."""
 
     async def change(self, command: configuration_lib.Command) -> None:
-        """Proposes a change, and waits until it is in force if asked to."""
-        answer = await self.ask(messages.Propose(command=command))
+        """Proposes a change; waits until it is in force if requested."""
+        answer = await self.request_leader(messages.Propose(command=command))
         if answer is None:
             return
         match answer.result:
             case configuration_lib.Applied(version=version, repeated=repeated):
                 seconds = float(self.get_query_argument("wait", "0"))
-                lagging = await self._in_force(version, seconds)
+                lagging = await self._wait_until_in_force(version, seconds)
                 self.finish(
                     {
                         "version": version,
@@ -141,15 +149,22 @@
                     }
                 )
             case configuration_lib.Conflict() as conflict:
-                await self.conflict(command, conflict)
+                await self.send_conflict(command, conflict)
             case configuration_lib.Rejected(findings=found):
-                self.fail(422, "rejected", found)
+                self.send_findings(422, "rejected", found)
 
-    async def _in_force(self, version: int, seconds: float) -> list[str] | None:
-        """Waits until no host may act on less; names those that still may."""
+    async def _wait_until_in_force(
+        self, version: int, seconds: float
+    ) -> list[str] | None:
+        """Waits until all hosts use a version or have lost their lease.
+
+        Returns:
+            The hosts that may still use an older version; None if no wait was
+            requested.
+        """
         if seconds <= 0:
             return None
-        until = time.monotonic() + seconds
+        deadline = time.monotonic() + seconds
         while True:
             answer = await self.gateway.ask(
                 messages.AskStatus(view="in_force", version=version),
@@ -157,18 +172,18 @@
             )
             assert isinstance(answer, messages.Status)
             lagging = msgspec.json.decode(answer.body)["lagging"]
-            if not lagging or time.monotonic() > until:
+            if not lagging or time.monotonic() > deadline:
                 return lagging
             await asyncio.sleep(_POLL_SECONDS)
 
-    async def conflict(
+    async def send_conflict(
         self,
         command: configuration_lib.Command,
         conflict: configuration_lib.Conflict,
     ) -> None:
-        """Tells the loser of a race what won."""
+        """Responds to a conflicting change with a diff to the current rules."""
         assert isinstance(command, configuration_lib.ApplyRules)
-        answer = await self.ask(messages.AskStatus(view="rules"))
+        answer = await self.request_leader(messages.AskStatus(view="rules"))
         if answer is None:
             return
         current = msgspec.json.decode(answer.body)["text"]
@@ -184,19 +199,21 @@
             f"expected version {command.expected_version}, but the rules are "
             f"at {conflict.version}, changed by {conflict.author!r}"
         )
-        self.fail(409, "conflict", [what, *diff])
+        self.send_findings(409, "conflict", [what, *diff])
 
 
 class _RulesHandler(_ChangeHandler):
     """`POST /operators/rules`."""
 
     async def post(self) -> None:
-        body = self.read(RulesBody)
+        body = self.read_body(RulesBody)
         if body is None:
             return
         parsed = rules_lib.parse(body.text)
         if not isinstance(parsed, rules_lib.Rules):
-            self.fail(422, "rejected", [str(found) for found in parsed])
+            self.send_findings(
+                422, "rejected", [str(found) for found in parsed]
+            )
             return
         if body.check_only:
             self.finish({"ok": True})
@@ -217,7 +234,7 @@
     """`POST /operators/keys` and `POST /operators/keys/LABEL/revoke`."""
 
     async def post(self, label: str | None = None) -> None:
-        body = self.read(KeyBody)
+        body = self.read_body(KeyBody)
         if body is None:
             return
         if label is not None:
@@ -246,16 +263,16 @@
     """`POST /operators/targets/NAME/drain`."""
 
     async def post(self, name: str) -> None:
-        body = self.read(DrainBody)
+        body = self.read_body(DrainBody)
         if body is None:
             return
-        answer = await self.ask(
+        answer = await self.request_leader(
             messages.DrainTarget(name=name, draining=body.draining)
         )
         if answer is None:
             return
         if answer.reason:
-            self.fail(404, "unknown_target", [answer.reason])
+            self.send_findings(404, "unknown_target", [answer.reason])
             return
         self.finish({"name": name, "draining": body.draining})
 
@@ -264,11 +281,11 @@
     """`POST /operators/voters/NAME/remove`."""
 
     async def post(self, name: str) -> None:
-        answer = await self.ask(messages.RemoveVoter(name=name))
+        answer = await self.request_leader(messages.RemoveVoter(name=name))
         if answer is None:
             return
         if answer.reason:
-            self.fail(404, "unknown_voter", [answer.reason])
+            self.send_findings(404, "unknown_voter", [answer.reason])
             return
         self.finish({"name": name, "removing": True})
 
@@ -277,27 +294,27 @@
     """`POST /targets/announce`."""
 
     async def post(self) -> None:
-        info = self.read(messages.TargetInfo)
+        info = self.read_body(messages.TargetInfo)
         if info is None:
             return
         if info.kind not in ("engine", "service"):
             what = findings.unknown_word(
                 "kind", info.kind, ("engine", "service")
             )
-            self.fail(422, "rejected", [what])
+            self.send_findings(422, "rejected", [what])
             return
         try:
-            refused = await self.home.announce(info)
+            refusal = await self.home.announce(info)
         except links.LinkDownError as error:
-            self.fail(503, "control_unreachable", [str(error)])
+            self.send_findings(503, "control_unreachable", [str(error)])
             return
-        if refused:
-            self.fail(409, "rejected", [refused])
+        if refusal:
+            self.send_findings(409, "rejected", [refusal])
             return
         self.finish(
             {
                 "report_seconds": self.gateway.settings.timing.report_seconds,
-                "gateways": self.homes(info.name),
+                "gateways": self.home_gateway_urls(info.name),
             }
         )
 
@@ -306,14 +323,14 @@
     """`POST /targets/report`."""
 
     def post(self) -> None:
-        report = self.read(messages.TargetReport)
+        report = self.read_body(messages.TargetReport)
         if report is None:
             return
         known = self.home.report(report)
         self.finish(
             {
                 "announce_again": not known,
-                "gateways": self.homes(report.name),
+                "gateways": self.home_gateway_urls(report.name),
             }
         )
 
--- a/tests/site.py
+++ b/tests/site.py
@@ -1,7 +1,7 @@
-"""A whole site inside one event loop, for tests of failures.
+"""A complete site in one event loop, for tests of failures.
 
 Hosts are real daemons on ephemeral loopback ports, targets are the stand-ins.
-Nothing here waits a guessed time: `until` polls a condition.
+Tests wait for conditions, which `until` polls, and not for fixed times.
 """
 
 import asyncio
@@ -29,12 +29,12 @@
 """
 KEY = "band-secret-key"
 OTHER_KEY = "shop-secret-key"
-_LONGEST_SECONDS = 20.0
+_TIMEOUT_SECONDS = 20.0
 
 
 async def until(condition, what="condition"):
     """Waits until `condition()` is true and returns its value."""
-    async with asyncio.timeout(_LONGEST_SECONDS):
+    async with asyncio.timeout(_TIMEOUT_SECONDS):
         while True:
             value = condition()
             if value:
@@ -43,7 +43,7 @@
 
 
 class Reply:
-    """A caller's view of one answer."""
+    """An answer as received by a caller."""
 
     def __init__(self, status, headers, body, cut):
         self.status = status
@@ -80,7 +80,7 @@
 
 
 class Caller:
-    """One raw connection, so that nothing hides how an answer ended."""
+    """Raw connection of a caller, which exposes how an answer ended."""
 
     def __init__(self, address):
         self._address = address
@@ -138,12 +138,14 @@
 
 
 def expected_text(count, messages=None):
-    asked = engine_lib.prompt_of({"messages": messages or prompt()})
-    return "".join(engine_lib.token(asked, n) for n in range(1, count + 1))
+    prompt_text = engine_lib.prompt_of({"messages": messages or prompt()})
+    return "".join(
+        engine_lib.token(prompt_text, n) for n in range(1, count + 1)
+    )
 
 
 class SiteTest(unittest.IsolatedAsyncioTestCase):
-    """Starts a control host and whatever a test adds to it."""
+    """Starts a control host, and the hosts and targets that a test adds."""
 
     more_settings = ""
     more_http = ""
@@ -168,8 +170,8 @@
     ):
         """Starts a host.
 
-        Without `control` it forms a system of its own; with it, it joins, as
-        a replica if it has a `disk`.
+        Without `control`, the host forms a new system. Otherwise it joins an
+        existing one, as a replica if it has a `disk`.
         """
         disk = not control if disk is None else disk
         folder = f'data_folder = "{self.folder / name}"\n' if disk else ""
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -1,4 +1,4 @@
-"""Several hosts: cut off, stopped, restarted."""
+"""Tests of several hosts that are disconnected, stopped and restarted."""
 
 import asyncio
 import unittest.mock
@@ -31,16 +31,18 @@
         await self.set_up_rules()
 
     async def test_request_through_another_host(self):
+        """Guards against hosts that serve only targets reporting to them."""
         await self.add_engine("e1")
         reply = await (await self.chat(host=self.other)).reply()
         self.assertTrue(reply.whole)
 
-    async def test_cut_off_host_refuses_rather_than_serve_old_keys(self):
-        """The caller of the cut-off host is told "not run", come back.
+    async def test_disconnected_host_refuses_requests(self):
+        """Guards against withdrawn keys that work on a disconnected host.
 
-        The host loses its control host without any error. Its lease runs out;
-        from then on a key withdrawn meanwhile cannot work there, and an
-        operator who waits for "in force" waits no longer than that.
+        The host loses its connection to the control host without an error.
+        After its lease has expired, it must refuse requests with the outcome
+        "not run". An operator who waits until a change is in force waits no
+        longer than that.
         """
         link = self.other.gateway._link
         link._addresses = ["tcp://127.0.0.1:1"]
@@ -51,11 +53,12 @@
         self.assertEqual(reply.error["type"], "no_lease")
         self.assertEqual(reply.error["outcome"], "not_run")
 
-    async def test_stopping_host_cuts_nothing(self):
-        """The stream runs to its final marker while its host stops.
+    async def test_draining_host_completes_its_streams(self):
+        """Guards against streams cut off when their host stops.
 
-        The host leaves the address answer first, and tells callers on its
-        connections to go elsewhere; it ends when the last stream has ended.
+        The host is first removed from the address list and has its callers
+        connect to other hosts. It must stop only after the last stream has
+        ended.
         """
         slow = engine_lib.Options(step_seconds=0.02)
         engine = await self.add_engine("e1", options=slow)
@@ -68,21 +71,21 @@
         await site.until(
             lambda: [h.name for h in self.control.gateway.hosts if h.draining]
         )
-        asked = await site.Caller(self.control.settings.http.address).send(
+        directory = await site.Caller(self.control.settings.http.address).send(
             "GET", "/v1/addresses", key=""
         )
-        reply = await asked.reply()
+        reply = await directory.reply()
         self.assertNotIn(self.other.settings.url, reply.body.decode())
         reply = await caller.reply()
         self.assertTrue(reply.whole)
         self.assertEqual(reply.text, site.expected_text(60))
         self.assertEqual(await running, 0)
 
-    async def test_restarted_control_host_keeps_what_it_accepted(self):
-        """Rules, keys and the answers of orders outlive the process.
+    async def test_restarted_control_host_keeps_accepted_changes(self):
+        """Guards against rules, keys or answers of orders lost by a restart.
 
-        Credit does not: after the restart teams start from nothing rather
-        than from a full burst, so no team gets a second burst.
+        Credit is not kept. After the restart, teams must start without credit
+        and not with a full burst, so that no team gets a second burst.
         """
         service = await self.add_service()
         await self.order(name="order-1")
@@ -90,17 +93,17 @@
         await self.control.close()
         self.forget_host(self.control)
         self.control = await self.start_host("control", address=address)
-        again = await self.order(name="order-1")
-        self.assertEqual(again.headers.get("Idempotency-Replayed"), "true")
+        repeated = await self.order(name="order-1")
+        self.assertEqual(repeated.headers.get("Idempotency-Replayed"), "true")
         self.assertEqual(len(service.ran), 1)
         self.assertLess(self.control.control.levels["shop"], 99_000)
 
-    async def test_homes_tell_a_new_leader_about_their_targets(self):
-        """Callers find targets at once after a new leader starts.
+    async def test_home_gateway_announces_targets_to_new_leader(self):
+        """Guards against targets that are missing after a change of leader.
 
-        The leader's tables are gone. The target reported to another host,
-        which tells the new leader what the target announced; the target
-        itself announces once in its life.
+        The new leader's tables are empty. The target's home gateway is another
+        host, which must forward the announcement to the new leader. The target
+        itself announces only once.
         """
         engine = engine_lib.Engine(
             name="e1",
@@ -119,11 +122,12 @@
         await self.until_live("e1")
         engine._announce.assert_awaited_once()
 
-    async def test_calls_of_a_dead_host_are_unknown(self):
-        """A resend elsewhere is told "unknown", not made to wait for ever.
+    async def test_calls_of_restarted_host_have_unknown_outcome(self):
+        """Guards against repeated calls that wait forever.
 
-        The host dies between sending an order and committing its answer. Its
-        next incarnation proves that the old one is dead.
+        The host fails between sending an order and committing its answer. Its
+        next incarnation proves that the old one has ended. A repeat of the
+        call through another host must then fail as "unknown".
         """
         service = await self.add_service()
         service.delay_seconds = 30.0
@@ -139,7 +143,7 @@
         self.assertEqual(
             (await self.order(name="order-6")).error["type"], "call_running"
         )
-        gateway._incarnation += 1  # As its next process would have.
+        gateway._incarnation += 1  # Simulates a restarted process.
         await gateway._renew()
         reply = await self.order(name="order-6")
         self.assertEqual(reply.error["type"], "call_fate_unknown")
@@ -147,11 +151,12 @@
         self.assertLess(stale.incarnation, gateway.host.incarnation)
         first.close()
 
-    async def test_calls_of_a_host_that_never_comes_back_are_unknown(self):
-        """A resend elsewhere is told "unknown" after two leases.
+    async def test_calls_of_lost_host_have_unknown_outcome(self):
+        """Guards against calls that wait forever, or are run twice.
 
-        The host is cut off for good after it sent the order. Its call may
-        still run there, so it is not sent again.
+        The host is disconnected permanently after it has sent the order. The
+        call may still run there, so it must not be sent again. After two
+        leases, a repeat through another host must fail as "unknown".
         """
         service = await self.add_service()
         service.delay_seconds = 60.0
@@ -172,8 +177,11 @@
         self.assertEqual(len(service.ran), 1)
         first.close()
 
-    async def test_missed_changes_are_caught_up_in_one_exchange(self):
-        """A host that slept through hundreds of changes has them all."""
+    async def test_one_renewal_returns_all_missed_changes(self):
+        """Guards against changes missed by a host that was suspended.
+
+        Hundreds of changes have been committed since its last renewal.
+        """
         control = self.control.gateway
         for number in range(300):
             await control.propose(
@@ -196,10 +204,10 @@
         )
         self.assertEqual(len(answer.update.keys), 302)
         view = configuration.View()
-        whole = await control.ask(
+        complete = await control.ask(
             messages.Watch(host=control.host, have=0, running=0), seconds=5
         )
-        view.update(whole.update)
+        view.update(complete.update)
         self.assertEqual(view.version, 303)
 
 
@@ -211,11 +219,11 @@
     async def asyncTearDown(self):
         self.context.destroy(linger=0)
 
-    async def test_silent_connection_is_opened_anew(self):
-        """Requests go through again without any error from the network.
+    async def test_silent_connection_is_reopened(self):
+        """Guards against links that stay silent without a network error.
 
-        Something between the two ends forgets the connection: it stays open
-        and says nothing. A forwarder that can fall silent stands for it.
+        A device between the two ends loses the state of the connection, which
+        stays open but transfers no bytes. A forwarder simulates this.
         """
         server = links.Server(
             address="tcp://127.0.0.1:*", handle=_echo, context=self.context
@@ -230,13 +238,13 @@
             silence=0.3,
         )
         link.start()
-        ask = messages.AskStatus(view="x")
-        await link.request(ask, seconds=5)
+        request = messages.AskStatus(view="x")
+        await link.request(request, seconds=5)
         forwarder.silence_all()
         with self.assertRaises(links.LinkDownError):
-            await link.request(ask, seconds=0.1)
+            await link.request(request, seconds=0.1)
         await site.until(lambda: link.reconnects)
-        await link.request(ask, seconds=5)
+        await link.request(request, seconds=5)
         await link.close()
         await server.close()
         await forwarder.close()
@@ -247,7 +255,7 @@
 
 
 class _Forwarder:
-    """Passes bytes on; connections told to fall silent stay open."""
+    """Forwards bytes; silenced connections stay open without any bytes."""
 
     def __init__(self, port):
         self._port = port
@@ -267,10 +275,12 @@
             writer.close()
 
     async def _accept(self, reader, writer):
-        there, back = await asyncio.open_connection("127.0.0.1", self._port)
-        self._open += [writer, back]
+        server_reader, server_writer = await asyncio.open_connection(
+            "127.0.0.1", self._port
+        )
+        self._open += [writer, server_writer]
         await asyncio.gather(
-            self._pump(reader, back), self._pump(there, writer)
+            self._pump(reader, server_writer), self._pump(server_reader, writer)
         )
 
     async def _pump(self, reader, writer):
@@ -283,7 +293,7 @@
 
 
 class NewLeaderTest(site.SiteTest):
-    """What a leader does in its first and in its last moments."""
+    """Tests of a leader directly after its election and before its end."""
 
     more_settings = (
         "[timing]\nreport_seconds = 10.0\ntarget_silence_seconds = 20.0\n"
@@ -293,20 +303,20 @@
         await super().asyncSetUp()
         await self.set_up_rules()
 
-    async def test_request_waits_for_targets_to_be_told(self):
-        """The caller gets its answer, not "no target".
+    async def test_request_waits_until_targets_are_reported(self):
+        """Guards against requests refused with "no target" by a new leader.
 
-        The leader is new; the target lives, and its home is about to tell.
+        The target is live, but its home gateway has not yet reported it.
         """
         caller = await self.chat(count=5)
         await site.until(lambda: self.control.gateway.running)
         await self.add_engine("e1")
         self.assertTrue((await caller.reply()).whole)
 
-    async def test_charge_sent_again_waits_for_the_same_credit(self):
-        """The caller is admitted once, also when its charge came twice.
+    async def test_repeated_charge_waits_for_the_same_credit(self):
+        """Guards against charging a request twice.
 
-        The link was lost while the charge waited, and it was sent again.
+        The link failed while the charge waited, and the charge was sent again.
         """
         limiter = self.control.control.leading.limiter
         first = messages.Charge(
@@ -323,11 +333,11 @@
             self.assertIsInstance(answer, messages.Charged)
         self.assertEqual(limiter._buckets["band"].open, 2)
 
-    async def test_ask_that_comes_after_its_ending_gets_no_place(self):
-        """No place is lost to a late send.
+    async def test_request_for_place_after_its_completion_is_refused(self):
+        """Guards against a place that is never released.
 
-        The caller left and its ending came first, over a newer link; then
-        the older send of its ask arrives.
+        The caller has disconnected, and the completion arrives first, over a
+        newer link. The earlier request for a place arrives after it.
         """
         await self.add_engine("e1")
         dispatcher = self.control.control.leading.dispatcher
@@ -345,11 +355,12 @@
         )
         self.assertIsInstance(answer, messages.Refused)
 
-    async def test_answer_that_waited_past_the_lease_is_not_given(self):
-        """No credit is given by a leader that was frozen and replaced.
+    async def test_answer_is_discarded_after_leader_lost_its_lease(self):
+        """Guards against credit granted by a replaced leader.
 
-        The charge was taken while it led; when the answer is ready its lease
-        in the log is over. The next leader is asked.
+        The leader accepted the charge and was then suspended. When the answer
+        is ready, its lease in the log has expired. The gateway must send the
+        charge to the next leader.
         """
         control = self.control.control
         charge = messages.Charge(
@@ -358,7 +369,7 @@
         leads = [True]
         handle = control.leading.handle
 
-        async def handle_and_lose(peer, message):
+        async def handle_and_lose_lease(peer, message):
             answer = await handle(peer, message)
             leads[0] = False
             return answer
@@ -370,7 +381,7 @@
                 unittest.mock.PropertyMock(side_effect=lambda: leads[0]),
             ),
             unittest.mock.patch.object(
-                control.leading, "handle", handle_and_lose
+                control.leading, "handle", handle_and_lose_lease
             ),
         ):
             answer = await control._handle(b"peer", charge)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Real processes that are killed and stopped, as a caller sees it."""
+"""Tests of callers' answers when real processes are killed and stopped."""
 
 import asyncio
 import json
@@ -23,15 +23,15 @@
         rules = self.folder / "rules.txt"
         rules.write_text(site.RULES)
         self._operate("rules", "apply", str(rules))
-        made = self._operate("key", "create", "--label=k", "--team=band")
-        self.key = made["key"]
+        created = self._operate("key", "create", "--label=k", "--team=band")
+        self.key = created["key"]
 
     def _operate(self, *arguments):
-        done = processes.operate(
+        result = processes.operate(
             "--output=json", *arguments, address=self.host.address
         )
-        self.assertEqual(done.returncode, 0, done.stderr)
-        return json.loads(done.stdout)
+        self.assertEqual(result.returncode, 0, result.stderr)
+        return json.loads(result.stdout)
 
     def _start_engine(self, name, step_seconds=0.01):
         engine = processes.stand_in(
@@ -68,11 +68,11 @@
             body=json.dumps(body).encode(),
         )
 
-    async def test_kill_9_of_the_engine_mid_stream(self):
-        """The caller sees every token once and the final marker.
+    async def test_stream_continues_after_engine_is_killed(self):
+        """Guards against lost or repeated tokens when an engine fails.
 
-        Of two engines the one that streams is killed after some tokens; the
-        other continues at the next.
+        Of two engines, the one that streams gets SIGKILL (kill -9) after some
+        tokens. The other one must continue with the next token.
         """
         engines = {
             name: self._start_engine(name) for name in ("engine-1", "engine-2")
@@ -90,11 +90,11 @@
             self.assertEqual(rest.count(word.encode()), 1, word)
         caller.close()
 
-    async def test_kill_9_of_the_gateway_mid_stream(self):
-        """The caller can tell the short answer from a whole one.
+    async def test_stream_is_incomplete_after_gateway_is_killed(self):
+        """Guards against truncated answers that look complete.
 
-        The gateway's process is killed. What came is a part: the body's last
-        chunk and the final marker are both missing.
+        The gateway's process gets SIGKILL (kill -9) during a stream. The
+        body's last chunk and the final marker must both be missing.
         """
         self._start_engine("engine-1")
         caller = await self._chat(5000)
@@ -108,10 +108,11 @@
         self.assertNotIn(b"\r\n0\r\n\r\n", rest)
         caller.close()
 
-    async def test_second_signal_says_what_would_be_cut(self):
-        """The stream runs to its end through both signals.
+    async def test_second_signal_logs_running_requests(self):
+        """Guards against a second signal that cuts off requests.
 
-        The operator sees which requests the stop still waits for.
+        The stream must continue to its end through both signals. The log must
+        list the requests that the stop still waits for.
         """
         self._start_engine("engine-1", step_seconds=0.03)
         caller = await self._chat(60)
@@ -130,23 +131,24 @@
         status = await asyncio.to_thread(self.host.process.wait, 30)
         self.assertEqual(status, 0)
 
-    async def test_command_reports_faults_with_exit_statuses(self):
+    async def test_command_reports_errors_with_exit_statuses(self):
+        """Guards against failed commands that scripts cannot detect."""
         bad = self.folder / "bad.txt"
         bad.write_text("modle x memory=1 # a\n")
-        done = processes.operate(
+        result = processes.operate(
             "rules", "check", str(bad), address=self.host.address
         )
-        self.assertEqual(done.returncode, 1)
-        self.assertIn(f"{bad}:1:1: unknown kind of rule", done.stderr)
+        self.assertEqual(result.returncode, 1)
+        self.assertIn(f"{bad}:1:1: unknown kind of rule", result.stderr)
         rules = self.folder / "rules.txt"
-        done = processes.operate(
+        result = processes.operate(
             "rules",
             "apply",
             str(rules),
             "--expected-version=0",
             address=self.host.address,
         )
-        self.assertEqual(done.returncode, 3)
-        self.assertIn("the rules are at 1", done.stderr)
-        done = processes.operate("status", address="127.0.0.1:1")
-        self.assertEqual(done.returncode, 4)
+        self.assertEqual(result.returncode, 3)
+        self.assertIn("the rules are at 1", result.stderr)
+        result = processes.operate("status", address="127.0.0.1:1")
+        self.assertEqual(result.returncode, 4)
