--- a/packages/endivestream/src/endivestream/process/__init__.py
+++ b/packages/endivestream/src/endivestream/process/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as the process: settings, logs, roles, HTTP routes."""
+"""Services of a running process: settings, roles, metrics, HTTP routes."""
--- a/packages/endivestream/src/endivestream/process/metrics.py
+++ b/packages/endivestream/src/endivestream/process/metrics.py
@@ -4,22 +4,23 @@
 
 import prometheus_client
 
-_SECONDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.1, 2.5, 5, 10, 30)
-_BETWEEN = (0.001, 0.005, 0.01, 0.02, 0.034, 0.05, 0.1, 0.25, 1, 5)
+# Upper bounds of histogram buckets, in seconds.
+_BUCKETS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.1, 2.5, 5, 10, 30)
+_GAP_BUCKETS = (0.001, 0.005, 0.01, 0.02, 0.034, 0.05, 0.1, 0.25, 1, 5)
 
 
 class Metrics:
-    """All metrics, in a registry of their own.
+    """All metrics, in a separate registry.
 
     Attributes:
         requests: Ended requests by kind, outcome and reason.
         first_token: Seconds from a request's head to its first token.
         between_tokens: Seconds between relayed events of a stream.
         tokens: Generated tokens relayed.
-        running: Requests of callers that run.
-        resumed: Streams taken up on another target.
-        lease_left: Seconds left of the configuration lease.
-        version: Configuration version in force here.
+        running: Running requests of callers.
+        resumed: Streams resumed on another target.
+        lease_left: Seconds until the configuration lease expires.
+        version: Configuration version in force on this host.
     """
 
     def __init__(self) -> None:
@@ -34,13 +35,13 @@
         self.first_token = prometheus_client.Histogram(
             "endivestream_first_token_seconds",
             "From the request's head to its first token",
-            buckets=_SECONDS,
+            buckets=_BUCKETS,
             registry=registry,
         )
         self.between_tokens = prometheus_client.Histogram(
             "endivestream_between_tokens_seconds",
             "Between relayed events of one stream",
-            buckets=_BETWEEN,
+            buckets=_GAP_BUCKETS,
             registry=registry,
         )
         self.tokens = prometheus_client.Counter(
@@ -66,5 +67,5 @@
         )
 
     def exposition(self) -> bytes:
-        """Returns the text that `/metrics` answers."""
+        """Returns all metrics in the text format, for `/metrics`."""
         return prometheus_client.generate_latest(self._registry)
--- a/packages/endivestream/src/endivestream/process/settings.py
+++ b/packages/endivestream/src/endivestream/process/settings.py
@@ -1,8 +1,9 @@
-"""Settings of one process: a TOML file, checked as a whole.
+"""Settings of one process, read from a TOML file and validated.
 
-Every fault is found in one pass and reported with its line, the value and
-what was expected. Each setting stands here once, with its default, its unit
-and its reason; `endivestreamd --show-settings` prints this list.
+All errors in the file are found in one pass. Each is reported with its line,
+the value and what was expected. Each setting is declared here with its
+default, its unit and its reason; `endivestreamd --show-settings` prints this
+list.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Host:
-    """Who this process is."""
+    """Identity, location and storage of this process."""
 
     name: str = _setting("local", "", "unique among hosts")
     domain: str = _setting("local", "", "the failure domain it stands in")
@@ -39,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Http:
-    """Where it listens for callers, and for operators and targets."""
+    """HTTP servers for callers, and for operators and targets."""
 
     address: str = _setting("127.0.0.1:8080", "IP:PORT", "callers")
     inner_address: str = _setting(
@@ -64,7 +65,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Tokens:
-    """Secrets of operators and targets."""
+    """Bearer tokens of operators and targets."""
 
     operator: str = _setting(
         "", "", "bearer token; needed when inner_address is not loopback"
@@ -76,7 +77,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Peers:
-    """How hosts of the system reach each other."""
+    """Links between the hosts of the system."""
 
     address: str = _setting(
         "tcp://127.0.0.1:8082", "tcp://IP:PORT", "listens, on a control host"
@@ -102,7 +103,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LinkKeys:
-    """Keys of the links between hosts; made by `endivestream link-key`."""
+    """Keys of links between hosts; `endivestream link-key` creates them."""
 
     system_file: str = _setting(
         "", "file", "the system's key; its secret half on control hosts"
@@ -115,7 +116,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Timing:
-    """Times that must keep to each other; see `_RELATIONS`."""
+    """Times whose relations are checked; see `_Checker._check_relations`."""
 
     lease_seconds: float = _setting(
         3.0, "s", "a gateway cut off for longer refuses new work"
@@ -171,7 +172,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class WeightStore:
-    """The budget of the weight store, for the whole fleet."""
+    """The load budget of the weight store, for all hosts together."""
 
     loads_at_once: int = _setting(11, "", "model loads under way together")
     loads_per_second: float = _setting(3.0, "1/s", "model loads started")
@@ -192,7 +193,7 @@
 
     @property
     def is_control(self) -> bool:
-        """Whether this process holds a replica of the log."""
+        """Whether this process stores a replica of the log."""
         return bool(self.host.data_folder)
 
     @property
@@ -202,24 +203,27 @@
 
     @property
     def url(self) -> str:
-        """Where callers reach this host."""
+        """The URL at which callers reach this host."""
         return self.http.url or f"http://{self.http.address}"
 
 
-_TYPES = {
+_VALUE_TYPES = {
     "str": (str, "a string"),
     "int": (int, "a whole number"),
     "float": (float, "a number"),
     "list[str]": (list, "a list of strings"),
 }
-_LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
+_LOG_LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
 
 
 def load(path: pathlib.Path) -> Settings | list[findings.Finding]:
-    """Reads and checks a settings file.
+    """Reads and validates a settings file.
+
+    Args:
+        path: The file.
 
     Returns:
-        The settings, or every finding in the order of its line.
+        The settings, or all findings sorted by line.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -230,7 +234,7 @@
 
 
 def parse(text: str, *, source: str) -> Settings | list[findings.Finding]:
-    """Checks the text of a settings file; see `load`."""
+    """Validates the text of a settings file; see `load`."""
     try:
         tables = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -240,133 +244,138 @@
         return [findings.Finding(place, f"not TOML: {error}")]
     checker = _Checker(text=text, source=source)
     settings = checker.settings(tables)
-    if checker.found:
-        return sorted(checker.found)
+    if checker.all_findings:
+        return sorted(checker.all_findings)
     return settings
 
 
 class _Checker:
-    """Collects the findings of one file."""
+    """Validates one file and collects its findings."""
 
     def __init__(self, *, text: str, source: str) -> None:
         self._source = source
         self._lines = _line_numbers(text)
-        self.found: list[findings.Finding] = []
+        self.all_findings: list[findings.Finding] = []
 
-    def _report(self, section: str, key: str, what: str) -> None:
+    def _report(self, section: str, key: str, message: str) -> None:
         line = self._lines.get((section, key)) or self._lines.get(
             (section, ""), 0
         )
         place = findings.Place(self._source, line)
-        self.found.append(findings.Finding(place, what))
+        self.all_findings.append(findings.Finding(place, message))
 
     def settings(self, tables: dict[str, Any]) -> Settings:
         sections = {f.name: f for f in dataclasses.fields(Settings)}
         values = {}
         for section, table in tables.items():
             if section not in sections or not isinstance(table, dict):
-                what = findings.unknown_word("section", section, sections)
-                self._report(section, "", what)
+                message = findings.unknown_word("section", section, sections)
+                self._report(section, "", message)
                 continue
             kind = sections[section].default_factory
-            values[section] = self._section(section, kind, table)
+            values[section] = self._parse_section(section, kind, table)
         settings = Settings(**values)
-        self._relations(settings)
+        self._check_relations(settings)
         return settings
 
-    def _section(self, section: str, kind: Any, table: dict[str, Any]) -> Any:
-        known = {f.name: f for f in dataclasses.fields(kind)}
+    def _parse_section(
+        self, section: str, kind: Any, table: dict[str, Any]
+    ) -> Any:
+        valid_fields = {f.name: f for f in dataclasses.fields(kind)}
         values = {}
         for key, value in table.items():
-            if key not in known:
-                what = findings.unknown_word(
-                    f"setting in [{section}]", key, known
+            if key not in valid_fields:
+                message = findings.unknown_word(
+                    f"setting in [{section}]", key, valid_fields
                 )
-                self._report(section, key, what)
+                self._report(section, key, message)
                 continue
-            python_type, expected = _TYPES[str(known[key].type)]
+            python_type, expected = _VALUE_TYPES[str(valid_fields[key].type)]
             if python_type is float and type(value) is int:
                 value = float(value)
-            sound = type(value) is python_type
-            if sound and python_type is list:
-                sound = all(isinstance(item, str) for item in value)
-            if sound and python_type in (int, float):
-                sound = value > 0
+            is_valid = type(value) is python_type
+            if is_valid and python_type is list:
+                is_valid = all(isinstance(item, str) for item in value)
+            if is_valid and python_type in (int, float):
+                is_valid = value > 0
                 expected += " above 0"
-            if not sound:
-                what = f"{section}.{key} = {value!r}: expected {expected}"
-                self._report(section, key, what)
+            if not is_valid:
+                message = f"{section}.{key} = {value!r}: expected {expected}"
+                self._report(section, key, message)
                 continue
             values[key] = value
         return kind(**values)
 
-    def _relations(self, settings: Settings) -> None:
-        """Checks what settings must be to each other."""
+    def _check_relations(self, settings: Settings) -> None:
+        """Checks the format of values and the relations between settings."""
         host, timing = settings.host, settings.timing
-        if host.log_level not in _LEVELS:
-            what = findings.unknown_word("log level", host.log_level, _LEVELS)
-            self._report("host", "log_level", what)
+        if host.log_level not in _LOG_LEVELS:
+            message = findings.unknown_word(
+                "log level", host.log_level, _LOG_LEVELS
+            )
+            self._report("host", "log_level", message)
         if not re.fullmatch(r"[A-Za-z0-9._-]+", host.name):
-            what = f"host.name = {host.name!r}: letters, digits, . _ - only"
-            self._report("host", "name", what)
+            message = f"host.name = {host.name!r}: letters, digits, . _ - only"
+            self._report("host", "name", message)
         if not settings.peers.control and not host.data_folder:
-            what = (
+            message = (
                 "host.data_folder is needed where peers.control is empty: "
                 "this host holds the replicated log"
             )
-            self._report("host", "data_folder", what)
+            self._report("host", "data_folder", message)
         for key in ("address", "inner_address"):
             address = getattr(settings.http, key)
             if not re.fullmatch(r"\d+(\.\d+){3}:\d+", address):
-                what = f"http.{key} = {address!r}: expected IP:PORT"
-                self._report("http", key, what)
+                message = f"http.{key} = {address!r}: expected IP:PORT"
+                self._report("http", key, message)
         for address in (settings.peers.address, *settings.peers.control):
             if not re.fullmatch(r"tcp://\d+(\.\d+){3}:(\d+|\*)", address):
-                what = f"peers: {address!r}: expected tcp://IP:PORT"
-                self._report("peers", "address", what)
-        loopback = settings.http.inner_address.startswith("127.")
+                message = f"peers: {address!r}: expected tcp://IP:PORT"
+                self._report("peers", "address", message)
+        is_loopback = settings.http.inner_address.startswith("127.")
         for key in ("operator", "target"):
-            if not loopback and not getattr(settings.tokens, key):
-                what = (
+            if not is_loopback and not getattr(settings.tokens, key):
+                message = (
                     f"tokens.{key} is needed: http.inner_address "
                     f"{settings.http.inner_address} is open to other hosts"
                 )
-                self._report("tokens", key, what)
+                self._report("tokens", key, message)
         self._check_link_keys(settings)
-        # A lease must outlive a lost renewal, or every dropped frame makes a
-        # healthy gateway refuse (symptom: 503 no_lease in bursts).
-        self._at_least(
+        # A lease must outlast a lost renewal. Otherwise every dropped frame
+        # makes a healthy gateway refuse requests (symptom: 503 no_lease in
+        # bursts).
+        self._check_at_least(
             "timing.lease_seconds",
             timing.lease_seconds,
             "4 x timing.watch_seconds",
             4 * timing.watch_seconds,
         )
-        # A gateway must find the new leader while its lease still runs: the
-        # renewal that the dead one does not answer, an election of up to
-        # twice its time, and one renewal more.
-        self._at_least(
+        # A gateway must find the new leader before its lease expires. This
+        # takes the renewal that the failed leader does not answer, an election
+        # of up to twice the election time, and one more renewal.
+        self._check_at_least(
             "timing.lease_seconds",
             timing.lease_seconds,
             "3 x timing.election_seconds + 2 x timing.watch_seconds",
             3 * timing.election_seconds + 2 * timing.watch_seconds,
         )
         if settings.peers.voters % 2 == 0:
-            what = f"peers.voters = {settings.peers.voters}: an odd number"
-            self._report("peers", "voters", what)
-        # A broken link must be opened anew while the lease still runs.
-        self._at_least(
+            message = f"peers.voters = {settings.peers.voters}: an odd number"
+            self._report("peers", "voters", message)
+        # A broken link must be reopened before the lease expires.
+        self._check_at_least(
             "timing.lease_seconds",
             timing.lease_seconds,
             "peers.silence_seconds + timing.watch_seconds",
             settings.peers.silence_seconds + timing.watch_seconds,
         )
-        self._at_least(
+        self._check_at_least(
             "timing.target_silence_seconds",
             timing.target_silence_seconds,
             "2 x timing.report_seconds",
             2 * timing.report_seconds,
         )
-        self._at_least(
+        self._check_at_least(
             "timing.host_silence_seconds",
             timing.host_silence_seconds,
             "3 x timing.watch_seconds",
@@ -375,35 +384,35 @@
 
     def _check_link_keys(self, settings: Settings) -> None:
         keys = settings.link_keys
-        needed = ["system_file", "host_file"]
+        required = ["system_file", "host_file"]
         if settings.is_control:
-            needed.append("allowed_folder")
-        given = [name for name in needed if getattr(keys, name)]
-        for name in needed:
-            if given and name not in given:
-                what = f"link_keys.{name} is needed beside {given[0]}"
-                self._report("link_keys", name, what)
-        # Whoever reaches an open link can lead, place and read all keys'
-        # digests.
-        loopback = settings.peers.address.startswith("tcp://127.")
-        if settings.is_control and not loopback and not given:
-            what = (
+            required.append("allowed_folder")
+        present = [name for name in required if getattr(keys, name)]
+        for name in required:
+            if present and name not in present:
+                message = f"link_keys.{name} is needed beside {present[0]}"
+                self._report("link_keys", name, message)
+        # Without link keys, anyone who can connect to this address could
+        # become the leader, place models and read the digests of all keys.
+        is_loopback = settings.peers.address.startswith("tcp://127.")
+        if settings.is_control and not is_loopback and not present:
+            message = (
                 f"link_keys are needed: peers.address {settings.peers.address} "
                 "is open to other hosts"
             )
-            self._report("link_keys", "system_file", what)
+            self._report("link_keys", "system_file", message)
 
-    def _at_least(
-        self, name: str, value: float, other: str, least: float
+    def _check_at_least(
+        self, name: str, value: float, other: str, minimum: float
     ) -> None:
-        if value < least:
+        if value < minimum:
             section, key = name.split(".")
-            what = f"{name} = {value} must be at least {other} = {least}"
-            self._report(section, key, what)
+            message = f"{name} = {value} must be at least {other} = {minimum}"
+            self._report(section, key, message)
 
 
 def _line_numbers(text: str) -> dict[tuple[str, str], int]:
-    """Finds the lines of sections and keys; the TOML reader keeps none."""
+    """Returns the lines of sections and keys, which `tomllib` does not."""
     numbers: dict[tuple[str, str], int] = {}
     section = ""
     for number, line in enumerate(text.splitlines(), start=1):
@@ -419,7 +428,7 @@
 
 
 def show() -> str:
-    """Returns all settings with default, unit and reason, as TOML."""
+    """Returns all settings with defaults, units and reasons, as TOML."""
     lines = []
     for section in dataclasses.fields(Settings):
         lines.append(f"[{section.name}]")
@@ -429,8 +438,10 @@
             default = field.default
             if default is dataclasses.MISSING:
                 default = field.default_factory()
-            shown = f'"{default}"' if isinstance(default, str) else default
+            default_text = (
+                f'"{default}"' if isinstance(default, str) else default
+            )
             lines.append(f"# {comment}{field.metadata['reason']}")
-            lines.append(f"{field.name} = {shown}")
+            lines.append(f"{field.name} = {default_text}")
         lines.append("")
     return "\n".join(lines)
--- a/packages/endivestream/src/endivestream/process/site_metrics.py
+++ b/packages/endivestream/src/endivestream/process/site_metrics.py
@@ -1,7 +1,7 @@
 """Metrics of entry hosts and control hosts, as text.
 
-Labels are names of ours and of the configuration, and statuses; nothing that a
-caller can make up.
+Label values are fixed names, names of the configuration and statuses. Callers
+cannot add values, so the number of time series is bounded.
 """
 
 from __future__ import annotations
@@ -16,34 +16,37 @@
 from endivestream import loop_meter
 from endivestream.request import forward_parts
 
-_SECONDS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.1, 2.0, 4.0, 8.0, 16.0)
-_PAUSES = (0.01, 0.02, 0.034, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0)
+# Upper bounds of histogram buckets, in seconds.
+_BUCKETS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.1, 2.0, 4.0, 8.0, 16.0)
+_PAUSE_BUCKETS = (0.01, 0.02, 0.034, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0)
 
 
 class _Metrics:
-    """A registry of its own, so that several hosts fit into one process."""
+    """Metrics in a separate registry, so that hosts can share a process."""
 
     def __init__(self) -> None:
         self._registry = prometheus_client.CollectorRegistry()
 
-    def _gauge(self, name: str, what: str, read: Callable[[], float]) -> None:
+    def _gauge(
+        self, name: str, description: str, read: Callable[[], float]
+    ) -> None:
         gauge = prometheus_client.Gauge(
-            f"endivestream_{name}", what, registry=self._registry
+            f"endivestream_{name}", description, registry=self._registry
         )
         gauge.set_function(read)
 
     def _histogram(
-        self, name: str, what: str, buckets: tuple[float, ...]
+        self, name: str, description: str, buckets: tuple[float, ...]
     ) -> prometheus_client.Histogram:
         return prometheus_client.Histogram(
             f"endivestream_{name}",
-            what,
+            description,
             ["kind"],
             buckets=buckets,
             registry=self._registry,
         )
 
-    def _loop(self, meter: loop_meter.LoopMeter) -> None:
+    def _add_loop_metrics(self, meter: loop_meter.LoopMeter) -> None:
         self._gauge(
             "loop_late_seconds",
             "Lateness of the event loop at the last look",
@@ -54,21 +57,21 @@
             "Greatest lateness of the event loop since the start",
             lambda: meter.latest,
         )
-        self._registry.register(_Work(meter=meter))
+        self._registry.register(_LoopWorkCollector(meter=meter))
 
     def exposition(self) -> bytes:
         """Returns all metrics in the text format."""
         return prometheus_client.generate_latest(self._registry)
 
 
-class _Work:
-    """What the event loop's time goes to, by type of message."""
+class _LoopWorkCollector:
+    """Collects the event loop's work by message type."""
 
     def __init__(self, *, meter: loop_meter.LoopMeter) -> None:
         self._meter = meter
 
     def collect(self) -> Iterator[core.Metric]:
-        """Yields the figures as they are now."""
+        """Yields the current values."""
         count = core.CounterMetricFamily(
             "endivestream_work", "Messages and other work", labels=["kind"]
         )
@@ -91,14 +94,14 @@
         yield from (count, size, seconds, longest)
 
 
-class _LimitedSends:
-    """Sends to targets that name a limit, by what became of them."""
+class _LimitedSendsCollector:
+    """Collects sends to targets that name a limit, by outcome."""
 
     def __init__(self, *, outcomes: Callable[[], Mapping[str, int]]) -> None:
         self._outcomes = outcomes
 
     def collect(self) -> Iterator[core.Metric]:
-        """Yields the figures as they are now."""
+        """Yields the current values."""
         sends = core.CounterMetricFamily(
             "endivestream_limited_sends",
             "Sends to targets that name a limit",
@@ -110,7 +113,7 @@
 
 
 class EntryMetrics(_Metrics):
-    """What an entry host counts."""
+    """Metrics of an entry host."""
 
     def __init__(
         self,
@@ -123,16 +126,16 @@
         limited_sends: Callable[[], Mapping[str, int]],
         meter: loop_meter.LoopMeter,
     ) -> None:
-        """Counts nothing yet.
+        """Registers the metrics.
 
         Args:
-            running: Returns how many requests run.
+            running: Returns the number of running requests.
             version: Returns the configuration version in force.
-            lease: Returns seconds left of the lease.
-            targets: Returns how many targets are known.
-            rate_limited: Returns how many of them name a limit.
-            limited_sends: Returns how many sends to these ended in what.
-            meter: Where the event loop's time goes.
+            lease: Returns the seconds until the lease expires.
+            targets: Returns the number of known targets.
+            rate_limited: Returns the number of targets that name a limit.
+            limited_sends: Returns the number of sends to these by outcome.
+            meter: The meter of the event loop.
         """
         super().__init__()
         self._requests = prometheus_client.Counter(
@@ -141,23 +144,25 @@
             ["kind", "status", "reason"],
             registry=self._registry,
         )
-        self._tries = prometheus_client.Counter(
+        self._sends = prometheus_client.Counter(
             "endivestream_sends",
             "Attempts with targets",
             ["kind"],
             registry=self._registry,
         )
         self._waited = self._histogram(
-            "waited_seconds", "Until a request was first sent", _SECONDS
+            "waited_seconds", "Until a request was first sent", _BUCKETS
         )
         self._first = self._histogram(
-            "first_byte_seconds", "Until the first byte of the answer", _SECONDS
+            "first_byte_seconds", "Until the first byte of the answer", _BUCKETS
         )
         self._total = self._histogram(
-            "request_seconds", "Until the end of a request", _SECONDS
+            "request_seconds", "Until the end of a request", _BUCKETS
         )
         self._gap = self._histogram(
-            "stream_pause_seconds", "Longest pause of a stream", _PAUSES
+            "stream_pause_seconds",
+            "Longest pause of a stream",
+            _PAUSE_BUCKETS,
         )
         self._gauge("running", "Requests that run", running)
         self._gauge("configuration_version", "Version in force", version)
@@ -166,14 +171,14 @@
         self._gauge(
             "rate_limited_targets", "Targets that name a limit", rate_limited
         )
-        self._registry.register(_LimitedSends(outcomes=limited_sends))
-        self._loop(meter)
+        self._registry.register(_LimitedSendsCollector(outcomes=limited_sends))
+        self._add_loop_metrics(meter)
 
     def observe(self, ended: forward_parts.Ended) -> None:
-        """Counts a finished request."""
+        """Records a finished request."""
         kind = ended.kind or "none"
         self._requests.labels(kind, ended.status, ended.reason).inc()
-        self._tries.labels(kind).inc(ended.tries)
+        self._sends.labels(kind).inc(ended.tries)
         self._total.labels(kind).observe(ended.total)
         if ended.tries:
             self._waited.labels(kind).observe(ended.waited)
@@ -183,7 +188,7 @@
 
 
 class ControlMetrics(_Metrics):
-    """What a control host counts."""
+    """Metrics of a control host."""
 
     def __init__(
         self,
@@ -196,17 +201,18 @@
         unplaced: Callable[[], float],
         meter: loop_meter.LoopMeter,
     ) -> None:
-        """Counts nothing itself; each figure is read when it is asked for.
+        """Registers the metrics; each value is read when it is collected.
 
         Args:
-            leads: Returns 1 if this host leads, else 0.
+            leads: Returns 1 if this host is the leader, else 0.
             term: Returns the log's term.
-            index: Returns the last entry that is applied.
-            version: Returns the newest configuration version held.
-            departed: Returns how many targets that left are remembered.
-            unplaced: Returns how many models requests wait for that this
-                host, if it places models, is not loading.
-            meter: Where the event loop's time goes.
+            index: Returns the index of the last applied entry.
+            version: Returns the newest configuration version on this host.
+            departed: Returns the number of recorded departed targets.
+            unplaced: Returns the number of models that requests wait for and
+                that are not being loaded; 0 if this host is not the planner
+                host.
+            meter: The meter of the event loop.
         """
         super().__init__()
         self._gauge("leads", "1 if this host leads", leads)
@@ -219,4 +225,4 @@
             "Models that requests wait for and that are not being loaded",
             unplaced,
         )
-        self._loop(meter)
+        self._add_loop_metrics(meter)
--- a/packages/endivestream/src/endivestream/process/site_settings.py
+++ b/packages/endivestream/src/endivestream/process/site_settings.py
@@ -1,7 +1,7 @@
-"""Settings of a site's hosts: who they are, and the times that must hold.
+"""Settings of a site's hosts: their identity and the bounds of the system.
 
-The bounds are the operators' promises; all times of ours follow from them and
-are checked against each other before anything starts.
+The bounds are guaranteed to operators. All internal times are derived from
+them and are checked against each other before the process starts.
 """
 
 from __future__ import annotations
@@ -10,36 +10,36 @@
 
 from endivestream import findings
 
-# A renewal answers in milliseconds; three lost ones in a row must not cost a
-# lease, so a lease holds several of them.
+# Number of renewals in a lease. A renewal takes milliseconds, and a lease must
+# not expire when three renewals in a row are lost.
 _RENEWALS_IN_LEASE = 6
-# Left between the end of the last lease and the bound on withdrawn keys: a
-# request that was admitted just before may still be on its way to a target.
+# Time between the expiry of the last lease and the bound on withdrawn keys. A
+# request admitted just before the expiry may not yet have reached its target.
 _REVOKE_MARGIN_SECONDS = 0.8
-# A renewal carries a few hundred bytes; more often brings nothing, because
-# changes are pushed.
-_RENEW_SECONDS = 0.3
+# Maximum time between renewals, each of which takes a few hundred bytes. A
+# shorter time has no advantage, because changes are pushed.
+_MAX_RENEW_SECONDS = 0.3
 
 
-# Least average time between renewals at the leader, over all entry hosts.
-_LEADER_RENEWAL_SECONDS = 0.0025
+# Minimum average time between renewals at the leader, over all entry hosts.
+_MIN_LEADER_RENEWAL_SECONDS = 0.0025
 
 
 class Bounds(NamedTuple):
-    """What operators promise of the system. Times in seconds.
+    """Guarantees of the system to its operators. Times are in seconds.
 
     Attributes:
-        revoke: A withdrawn key works nowhere after this.
-        config: A configuration is in force everywhere after this.
-        drain: A leaving target gets nothing new after this.
-        grace: A process that is asked to stop is killed after this.
-        lease: Two hosts may order one target only so long apart.
-        repeat_ratio: Repeats for each request that came.
-        repeat_window: Seconds over which repeats count.
-        repeat_slack: Repeats that are allowed on top, over all hosts.
-        store_window: Seconds over which loads from the store count.
+        revoke: Time after which a withdrawn key is refused by all hosts.
+        config: Time after which a configuration is in force on all hosts.
+        drain: Time after which a departing target gets no new requests.
+        grace: Time between the stop signal to a process and its kill.
+        lease: Minimum time between orders of two hosts to the same target.
+        repeat_ratio: Repeats allowed for each request received.
+        repeat_window: Seconds over which repeats are counted.
+        repeat_slack: Repeats allowed in addition, over all hosts.
+        store_window: Seconds over which loads from the store are counted.
         store_excess: Loads allowed, as a multiple of the store's rate.
-        address_lifetime: Longest time for which callers keep an answer.
+        address_lifetime: Maximum time for which callers keep an address list.
         fenced: Whether targets refuse orders with an old fencing token.
     """
 
@@ -62,18 +62,18 @@
 
     Attributes:
         name: Unique among hosts.
-        domain: Its failure domain.
+        domain: The host's failure domain.
         domains: All failure domains with their regions.
-        region: Its region.
-        callers: `IP:PORT` where callers connect; empty on a control host.
-        peers: `tcp://IP:PORT` where this host listens for others; empty
-            for an entry host that owns no engine.
+        region: The host's region.
+        callers: `IP:PORT` to which callers connect; empty on a control host.
+        peers: `tcp://IP:PORT` on which this host listens for other hosts;
+            empty for an entry host that is not the turn owner of any engine.
         controls: `tcp://IP:PORT` of some control hosts.
-        data_folder: Where the log is kept; empty elsewhere.
-        first_start: Whether the whole system starts for the first time.
-        losses: Control hosts that may be lost at once.
+        data_folder: Folder of the log; empty on hosts without one.
+        first_start: Whether the complete system starts for the first time.
+        losses: Number of control hosts that may fail at the same time.
         report: Seconds between the reports of a target.
-        bounds: What operators promise.
+        bounds: Guarantees to operators.
     """
 
     name: str
@@ -91,82 +91,89 @@
 
     @property
     def machine(self) -> str:
-        """This machine among all that ever had its name.
+        """The identity of this machine.
 
-        One that replaces a lost machine may bear its name, but listens
-        elsewhere.
+        A machine that replaces a lost one may have the same name, but listens
+        on another address.
         """
         return f"{self.name}@{self.peers}"
 
     @property
     def lease_seconds(self) -> float:
-        """How long an entry host may act without hearing a leader."""
+        """Seconds for which an entry host may act without a leader."""
         return self.bounds.revoke - _REVOKE_MARGIN_SECONDS
 
     @property
     def renew_seconds(self) -> float:
-        """Time between two renewals."""
-        return min(_RENEW_SECONDS, self.lease_seconds / _RENEWALS_IN_LEASE)
+        """Seconds between two renewals of a host in a small site."""
+        return min(_MAX_RENEW_SECONDS, self.lease_seconds / _RENEWALS_IN_LEASE)
 
     def renew_seconds_for(self, hosts: int) -> float:
-        """Returns the time between two renewals of each entry host.
+        """Returns the seconds between two renewals of each entry host.
 
-        Large sites renew less often, which limits the load on the leader, but
-        still several times in a lease.
+        Hosts of large sites renew less often, which limits the load on the
+        leader, but still several times in a lease.
 
         Args:
             hosts: The number of entry hosts.
         """
-        longest = self.lease_seconds / _RENEWALS_IN_LEASE
-        every = max(self.renew_seconds, hosts * _LEADER_RENEWAL_SECONDS)
-        return min(longest, every)
+        max_seconds = self.lease_seconds / _RENEWALS_IN_LEASE
+        wanted_seconds = max(
+            self.renew_seconds, hosts * _MIN_LEADER_RENEWAL_SECONDS
+        )
+        return min(max_seconds, wanted_seconds)
 
     @property
     def election_seconds(self) -> float:
-        """Least time without a leader before an election.
+        """Minimum seconds without a leader before an election.
 
-        Three renewals and an election of up to twice its time must fit into a
-        lease, or the death of a leader makes healthy hosts refuse.
+        Three renewals and an election of up to twice this time must fit into a
+        lease. Otherwise healthy hosts refuse requests when a leader fails.
         """
         return min(0.6, self.lease_seconds / 5)
 
     @property
     def voters(self) -> int:
-        """Replicas that vote: enough that losses leave a majority."""
+        """The number of voting replicas; after losses, a quorum remains."""
         return 2 * self.losses + 1
 
     @property
     def address_seconds(self) -> float:
-        """For how long callers are told to keep an answer.
+        """Seconds for which callers should keep an address list.
 
-        Some keep it three times as long; a host that stops must outlive that.
+        Some callers keep it three times as long. A draining host must not stop
+        before that.
         """
         return min(self.bounds.address_lifetime, self.bounds.grace / 4)
 
 
 def check(settings: SiteSettings) -> list[findings.Finding]:
-    """Returns every relation between times that does not hold."""
+    """Returns a finding for each violated relation between times."""
     found = []
 
-    def at_least(name: str, value: float, other: str, least: float) -> None:
-        if value < least:
-            what = f"{name} = {value:g} s must be at least {other} = {least:g}"
-            found.append(findings.Finding(findings.Place("bounds"), what))
+    def check_at_least(
+        name: str, value: float, other: str, minimum: float
+    ) -> None:
+        if value < minimum:
+            message = (
+                f"{name} = {value:g} s must be at least {other} = {minimum:g}"
+            )
+            found.append(findings.Finding(findings.Place("bounds"), message))
 
     lease = settings.lease_seconds
-    renew = settings.renew_seconds
+    renewal = settings.renew_seconds
     election = settings.election_seconds
-    at_least("revoke", settings.bounds.revoke, "margin", 1.0)
-    at_least(
-        "lease", lease, "3 renewals + 2 elections", 3 * renew + 2 * election
+    check_at_least("revoke", settings.bounds.revoke, "margin", 1.0)
+    check_at_least(
+        "lease", lease, "3 renewals + 2 elections", 3 * renewal + 2 * election
     )
-    at_least(
+    check_at_least(
         "grace",
         settings.bounds.grace,
         "3 address lifetimes",
         3 * settings.address_seconds,
     )
     if not settings.controls:
-        what = "no control host is named"
-        found.append(findings.Finding(findings.Place("controls"), what))
+        message = "no address of a control host is given"
+        found.append(findings.Finding(findings.Place("controls"), message))
     return found
--- a/tests/standin.py
+++ b/tests/standin.py
@@ -1,4 +1,4 @@
-"""A target on loopback that does what a test tells it, byte by byte."""
+"""Scripted targets and raw callers on loopback, for tests of connections."""
 
 import asyncio
 import socket
@@ -7,7 +7,7 @@
 
 
 class Request(NamedTuple):
-    """What the target received."""
+    """A request as received by the target."""
 
     method: str
     path: str
@@ -16,7 +16,7 @@
 
 
 async def read_head(reader):
-    """Returns the first line and the headers, or None at the end."""
+    """Returns the first line and the headers; None if the stream has ended."""
     try:
         raw = await reader.readuntil(b"\r\n\r\n")
     except (asyncio.IncompleteReadError, ConnectionError):
@@ -27,14 +27,14 @@
 
 
 def answer(status=200, body=b"ok", **headers):
-    """Returns the bytes of a whole answer with a length."""
+    """Returns the bytes of a complete answer with a content length."""
     lines = [f"HTTP/1.1 {status} Word", f"Content-Length: {len(body)}"]
     lines += [f"{n.replace('_', '-')}: {v}" for n, v in headers.items()]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
 def stream_head(**headers):
-    """Returns the head of a stream in chunks."""
+    """Returns the head of a stream with chunked encoding."""
     lines = [
         "HTTP/1.1 200 OK",
         "Content-Type: text/event-stream",
@@ -56,7 +56,7 @@
 
 
 class Target:
-    """Serves each request with the next of its scripts.
+    """Serves each request with the next script.
 
     A script is a coroutine function that takes the request and the writer; it
     may close the writer. The last script serves all further requests.
@@ -97,14 +97,16 @@
             self.requests.append(request)
             script = self._scripts.pop(0)
             self._scripts = self._scripts or [script]
-            # A caller who leaves is seen while the script still runs.
+            # A disconnect of the caller is detected while the script runs.
             work = asyncio.create_task(script(request, writer))
-            gone = asyncio.create_task(reader.read(1))
-            await asyncio.wait({work, gone}, return_when="FIRST_COMPLETED")
-            if gone.done() and not work.done():
+            disconnect = asyncio.create_task(reader.read(1))
+            await asyncio.wait(
+                {work, disconnect}, return_when="FIRST_COMPLETED"
+            )
+            if disconnect.done() and not work.done():
                 work.cancel()
                 break
-            gone.cancel()
+            disconnect.cancel()
             await work
             if writer.is_closing():
                 break
@@ -132,10 +134,10 @@
         for part in parts:
             writer.write(part)
         await writer.drain()
-        # Without this the kernel would end the connection in good order.
-        at_once = struct.pack("ii", 1, 0)
+        # Without this, the kernel closes the connection normally.
+        linger_zero = struct.pack("ii", 1, 0)
         writer.get_extra_info("socket").setsockopt(
-            socket.SOL_SOCKET, socket.SO_LINGER, at_once
+            socket.SOL_SOCKET, socket.SO_LINGER, linger_zero
         )
         writer.transport.abort()
 
@@ -148,7 +150,14 @@
 
 
 class Reply(NamedTuple):
-    """What a caller got: `whole` if the answer came to its framed end."""
+    """An answer as received by a caller.
+
+    Attributes:
+        status: The HTTP status; 0 without an answer.
+        headers: The headers by name.
+        body: The body as far as it was received.
+        whole: Whether the body was received completely, by its framing.
+    """
 
     status: int
     headers: dict
@@ -157,7 +166,7 @@
 
 
 class Caller:
-    """One connection of a caller; nothing hides how an answer ended."""
+    """Raw connection of a caller, which exposes how an answer ended."""
 
     def __init__(self, address):
         self._address = address
--- a/tests/test_site_metrics.py
+++ b/tests/test_site_metrics.py
@@ -5,8 +5,8 @@
 from endivestream.request import forward_parts
 
 
-def ended(**fields):
-    given = {
+def ended_request(**fields):
+    defaults = {
         "route": "r1",
         "kind": "stream",
         "team": "band",
@@ -18,7 +18,7 @@
         "gap": 0.25,
         "tries": 1,
     } | fields
-    return forward_parts.Ended(**given)
+    return forward_parts.Ended(**defaults)
 
 
 class EntryMetricsTest(unittest.TestCase):
@@ -36,9 +36,12 @@
     def _lines(self):
         return self.metrics.exposition().decode().splitlines()
 
-    def test_requests_and_their_times_are_counted(self):
-        self.metrics.observe(ended())
-        self.metrics.observe(ended(status=503, reason="no_model", tries=0))
+    def test_requests_and_their_durations_are_recorded(self):
+        """Guards against missing counts, and times of requests not sent."""
+        self.metrics.observe(ended_request())
+        self.metrics.observe(
+            ended_request(status=503, reason="no_model", tries=0)
+        )
         lines = self._lines()
         for line in (
             'endivestream_requests_total{kind="stream",reason="served",'
@@ -56,16 +59,19 @@
             self.assertIn(line, lines)
 
     def test_callers_cannot_add_labels(self):
-        """Memory stays bounded whatever models and paths are asked for."""
-        self.metrics.observe(ended())
+        """Guards against unbounded memory through label values of callers."""
+        self.metrics.observe(ended_request())
         before = len(self._lines())
         for number in range(50):
-            self.metrics.observe(ended(route=f"r{number}", team=f"t{number}"))
+            self.metrics.observe(
+                ended_request(route=f"r{number}", team=f"t{number}")
+            )
         self.assertEqual(len(self._lines()), before)
 
 
 class ControlMetricsTest(unittest.TestCase):
-    def test_figures_are_read_when_they_are_asked_for(self):
+    def test_values_are_read_when_collected(self):
+        """Guards against values that stay as they were at the start."""
         leads = [False]
         metrics = site_metrics.ControlMetrics(
             leads=lambda: leads[0],
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop whose time passes only when everything waits, or is charged."""
+"""Event loop with virtual time, which advances only while all tasks wait."""
 
 import asyncio
 import contextlib
@@ -6,36 +6,36 @@
 
 from endivestream import clock
 
-_BEGIN_SECONDS = 1000.0
+_START_SECONDS = 1000.0
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Timers fire at once and in order; work takes what it is charged."""
+    """Runs timers immediately and in order; work takes the charged time."""
 
     def __init__(self):
         super().__init__()
-        self._now = _BEGIN_SECONDS
-        self._really_select = self._selector.select
+        self._now = _START_SECONDS
+        self._poll_selector = self._selector.select
         self._selector.select = self._select
 
     def time(self):
         return self._now
 
     def charge(self, seconds):
-        """Lets the loop's own work take time."""
+        """Advances the time by the duration of work in the loop."""
         self._now += seconds
 
     def _select(self, timeout=None):
-        ready = self._really_select(0)
+        ready = self._poll_selector(0)
         if not ready:
-            assert timeout is not None, "everything waits for ever"
+            assert timeout is not None, "all tasks wait forever"
             self._now += timeout
         return ready
 
 
 @contextlib.contextmanager
 def running():
-    """Yields a runner of a virtual loop, with our clock set to it."""
+    """Yields a runner of a virtual loop and patches `clock` with its time."""
     loop = VirtualLoop()
     with (
         mock.patch.object(clock, "now", loop.time),
