--- a/packages/endivestream/src/endivestream/process/entry_rate_limits.py
+++ b/packages/endivestream/src/endivestream/process/entry_rate_limits.py
@@ -76,11 +76,13 @@
         """Sets how many entry hosts share the limits."""
         self._hosts = hosts
 
-    def heard(self, said: registry_lib.Registration, text: str | None) -> None:
+    def heard(
+        self, registration: registry_lib.Registration, text: str | None
+    ) -> None:
         """Records the limit in an answer of a target.
 
         Args:
-            said: The target's registration.
+            registration: The target's registration.
             text: The limit that the answer names; None if it names none.
         """
         rate = None
@@ -88,14 +90,18 @@
             rate = rate_limits_lib.parse(text)
             if rate is None:
                 # The target meant to name a limit, so the last one stays.
-                logs.warn("rate_limit_unreadable", target=said.name, text=text)
+                logs.warn(
+                    "rate_limit_unreadable", target=registration.name, text=text
+                )
                 return
         now = clock.now()
-        before = self._limits.rate(said.name, said.born)
-        if not self._limits.heard(said.name, said.born, rate, now):
+        before = self._limits.rate(registration.name, registration.born)
+        if not self._limits.heard(
+            registration.name, registration.born, rate, now
+        ):
             return
-        _log_rate_limit(said.name, rate, "target")
-        self._unreported.add(said.name)
+        _log_rate_limit(registration.name, rate, "target")
+        self._unreported.add(registration.name)
         is_due = now >= self._last_notified_at + _MIN_NOTIFY_INTERVAL_SECONDS
         if is_due and _is_large_change(before, rate):
             self._last_notified_at = now
@@ -129,12 +135,12 @@
     # Sends.
 
     async def permit(
-        self, said: registry_lib.Registration, patience: float
+        self, registration: registry_lib.Registration, patience: float
     ) -> float | None:
         """Waits until a request may be sent to a target.
 
         Args:
-            said: The target's registration.
+            registration: The target's registration.
             patience: Seconds for which the request can wait.
 
         Returns:
@@ -142,28 +148,35 @@
             may be tried again.
         """
         now = clock.now()
-        rate = self._limits.rate(said.name, said.born)
+        rate = self._limits.rate(registration.name, registration.born)
         if rate is None:
             return None
-        share = self._shares.setdefault(said.name, send_slots.HostShare())
+        share = self._shares.setdefault(
+            registration.name, send_slots.HostShare()
+        )
         if share.spend(rate, self._hosts, now):
             self._outcomes["own"] += 1
             return None
-        age = self._limits.age(said.name, now)
+        age = self._limits.age(registration.name, now)
         answer = await self._watch.ask(
             site_messages.AskSend(
-                limit=site_messages.RateLimit(said.name, said.born, rate, age),
+                limit=site_messages.RateLimit(
+                    registration.name, registration.born, rate, age
+                ),
                 patience=patience,
             ),
             seconds=_TIMEOUT_SECONDS,
         )
         match answer:
             case site_messages.GiveSend(wait=float(wait)):
-                return await self._wait_for_send(said, rate, now, wait)
+                return await self._wait_for_send(registration, rate, now, wait)
             case site_messages.GiveSend(again=again):
                 self._outcomes["denied"] += 1
                 logs.event(
-                    "send_denied", target=said.name, rate=rate, again_s=again
+                    "send_denied",
+                    target=registration.name,
+                    rate=rate,
+                    again_s=again,
                 )
                 return again
         self._outcomes["unanswered"] += 1
@@ -171,7 +184,7 @@
 
     async def _wait_for_send(
         self,
-        said: registry_lib.Registration,
+        registration: registry_lib.Registration,
         rate: float,
         requested_at: float,
         wait: float,
@@ -179,7 +192,7 @@
         """Waits for the granted moment of a send; returns as `permit` does."""
         await asyncio.sleep(wait)
         delay = clock.now() - requested_at - wait - _TIMEOUT_SECONDS
-        current_rate = self._limits.rate(said.name, said.born)
+        current_rate = self._limits.rate(registration.name, registration.born)
         has_decreased = current_rate is not None and current_rate < rate
         if delay > _MAX_DELAY_SECONDS or has_decreased:
             self._outcomes["denied"] += 1
--- a/packages/endivestream/src/endivestream/process/home.py
+++ b/packages/endivestream/src/endivestream/process/home.py
@@ -87,12 +87,12 @@
         Returns:
             False if the target must announce itself first.
         """
-        known = self._targets.get(report.name)
-        if known is None or known.info.incarnation != report.incarnation:
+        state = self._targets.get(report.name)
+        if state is None or state.info.incarnation != report.incarnation:
             return False
-        last = known.report
+        last = state.report
         if last is None or last.sequence < report.sequence:
-            self._targets[report.name] = known._replace(
+            self._targets[report.name] = state._replace(
                 report=report, last_report_at=time.monotonic()
             )
             self._changed.add(report.name)
@@ -131,13 +131,13 @@
 
     async def _announce_again(self, name: str) -> None:
         """Forwards a target's announcement to a leader that lacks it."""
-        known = self._targets[name]
-        refusal = await self.announce(known.info)
+        state = self._targets[name]
+        refusal = await self.announce(state.info)
         if refusal:
             del self._targets[name]
             logs.warn("target_refused", target=name, why=refusal)
         else:
-            self._targets[name] = known
+            self._targets[name] = state
 
     async def _send_reports(self, names: set[str]) -> list[str]:
         """Sends targets' reports to the leader.
--- a/packages/endivestream/src/endivestream/process/inner.py
+++ b/packages/endivestream/src/endivestream/process/inner.py
@@ -326,10 +326,10 @@
         report = self.read_body(messages.TargetReport)
         if report is None:
             return
-        known = self.home.report(report)
+        is_known = self.home.report(report)
         self.finish(
             {
-                "announce_again": not known,
+                "announce_again": not is_known,
                 "gateways": self.home_gateway_urls(report.name),
             }
         )
--- a/tests/test_entry_site.py
+++ b/tests/test_entry_site.py
@@ -71,7 +71,7 @@
         self.folder.cleanup()
 
     def _settings(self, name, **fields):
-        given = {
+        defaults = {
             "domain": "a",
             "domains": {"a": ""},
             "region": "",
@@ -84,7 +84,7 @@
             "report": 0.2,
             "bounds": BOUNDS,
         } | fields
-        return site_settings.SiteSettings(name=name, **given)
+        return site_settings.SiteSettings(name=name, **defaults)
 
     async def _start_control(self, peer, *, first_start=True):
         number = self.peers.index(peer)
@@ -127,7 +127,7 @@
         )
 
     async def _register(self, *, draining=False, number=1):
-        said = registry_lib.Registration(
+        registration = registry_lib.Registration(
             name="t1",
             service="desk",
             address=self.target.address,
@@ -138,7 +138,7 @@
         )
         control = list(self.controls.values())[-1]
         async with asyncio.timeout(30):
-            while not await control.register(said):
+            while not await control.register(registration):
                 await asyncio.sleep(0.005)
 
     async def _send_request(self, entry, **headers):
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -139,7 +139,7 @@
         )
         await site.until(lambda: service.ran)
         gateway = self.other.gateway
-        stale = gateway.host
+        previous = gateway.host
         self.assertEqual(
             (await self.order(name="order-6")).error["type"], "call_running"
         )
@@ -148,7 +148,7 @@
         reply = await self.order(name="order-6")
         self.assertEqual(reply.error["type"], "call_fate_unknown")
         self.assertEqual(len(service.ran), 1)
-        self.assertLess(stale.incarnation, gateway.host.incarnation)
+        self.assertLess(previous.incarnation, gateway.host.incarnation)
         first.close()
 
     async def test_calls_of_lost_host_have_unknown_outcome(self):
