--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,7 @@
-"""The folder `platform/`: what is read there; nothing that comes breaks it."""
+"""Parsing of the platform's documents, settings and heartbeats.
+
+Valid input is converted field by field; malformed input never raises.
+"""
 
 import json
 import pathlib
@@ -127,28 +130,34 @@
 )
 
 
-def spoilt(given, data):
-    """Returns a message with one of its values replaced, taken out or added."""
-    copy = json.loads(json.dumps(given))
-    at = copy
+def spoilt(message, data):
+    """Returns a copy of a message with one value replaced or removed."""
+    copy = json.loads(json.dumps(message))
+    container = copy
     while True:
-        keys = list(at) if isinstance(at, dict) else list(range(len(at)))
+        keys = (
+            list(container)
+            if isinstance(container, dict)
+            else list(range(len(container)))
+        )
         if not keys:
             return copy
         key = data.draw(st.sampled_from(keys))
-        deeper = isinstance(at[key], dict | list) and data.draw(st.booleans())
-        if deeper:
-            at = at[key]
+        descend = isinstance(container[key], dict | list) and data.draw(
+            st.booleans()
+        )
+        if descend:
+            container = container[key]
             continue
         if data.draw(st.booleans()):
-            del at[key]
+            del container[key]
         else:
-            at[key] = data.draw(_JSON)
+            container[key] = data.draw(_JSON)
         return copy
 
 
 class ConfigurationTest(unittest.TestCase):
-    def test_what_is_read(self):
+    def test_document_is_converted_field_by_field(self):
         body = json.dumps(CONFIG).encode()
         read = documents.read(body)
         stream, once = read.routes
@@ -163,8 +172,8 @@
         self.assertTrue(read.teams[0].by_tokens)
         self.assertEqual(read.source, body)
 
-    def test_invalid_ones_are_refused_with_a_reason(self):
-        for spoil, word in (
+    def test_invalid_documents_are_rejected_with_a_reason(self):
+        for invalidate, expected_text in (
             (lambda c: c["routes"][0].update(service="none"), "service"),
             (lambda c: c["routes"][1].update(pathPrefix="/x/"), "also that of"),
             (lambda c: c["routes"][0].update(timeoutMs=0), "timeout"),
@@ -177,10 +186,10 @@
             (lambda c: c.pop("version"), "version"),
         ):
             config = json.loads(json.dumps(CONFIG))
-            spoil(config)
+            invalidate(config)
             found = documents.read(json.dumps(config).encode())
-            self.assertIsInstance(found, list, word)
-            self.assertIn(word, " ".join(map(str, found)))
+            self.assertIsInstance(found, list, expected_text)
+            self.assertIn(expected_text, " ".join(map(str, found)))
 
     @hypothesis.given(st.integers(0, len(json.dumps(CONFIG)) - 1))
     def test_one_that_is_cut_short_is_refused(self, length):
@@ -199,21 +208,21 @@
 
 
 class TargetsTest(unittest.TestCase):
-    def test_what_a_report_says(self):
-        said = targets.read_beat("i-1", json.dumps(BEAT).encode())
-        self.assertEqual(said.name, "i-1")
-        self.assertEqual(said.number, 4)
-        self.assertEqual(said.loaded[0].adapters, ("a1",))
-        self.assertEqual(said.on_disk, ("m", "m3"))
-        self.assertFalse(said.draining)
+    def test_heartbeat_is_converted_field_by_field(self):
+        registration = targets.read_beat("i-1", json.dumps(BEAT).encode())
+        self.assertEqual(registration.name, "i-1")
+        self.assertEqual(registration.number, 4)
+        self.assertEqual(registration.loaded[0].adapters, ("a1",))
+        self.assertEqual(registration.on_disk, ("m", "m3"))
+        self.assertFalse(registration.draining)
 
-    def test_notice_of_the_end(self):
+    def test_draining_heartbeat_has_the_remaining_time_in_seconds(self):
         beat = BEAT | {"state": "draining", "remainingMs": 2500}
-        said = targets.read_beat("i-1", json.dumps(beat).encode())
-        self.assertTrue(said.draining)
-        self.assertEqual(said.leaves_in, 2.5)
+        registration = targets.read_beat("i-1", json.dumps(beat).encode())
+        self.assertTrue(registration.draining)
+        self.assertEqual(registration.leaves_in, 2.5)
 
-    def test_an_unknown_state_names_the_valid_ones(self):
+    def test_unknown_state_is_rejected_with_the_valid_states(self):
         beat = json.dumps(BEAT | {"state": "odd"}).encode()
         self.assertIn("ready, draining", targets.read_beat("i-1", beat))
 
@@ -227,7 +236,7 @@
         self.assertIsInstance(targets.read_beat("i-1", body), str)
         self.assertIsNone(targets.Codec().report(body))
 
-    def test_an_order_as_it_is_written(self):
+    def test_order_is_encoded_in_the_platform_format(self):
         order = engines.Order(
             load=True, model="m", adapter="", expected=0, holder="h", fence=3
         )
@@ -247,33 +256,33 @@
 
 
 class SettingsTest(unittest.TestCase):
-    _PLACE = findings.Place("settings")
+    _LOCATION = findings.Place("settings")
 
     def _read(self, **changes):
         raw = json.dumps(SETTINGS | changes).encode()
-        return settings.decode(raw, self._PLACE)
+        return settings.decode(raw, self._LOCATION)
 
-    def test_what_is_read(self):
+    def test_settings_file_is_converted_to_site_settings(self):
         site = self._read().site
         self.assertEqual(site.peers, "tcp://10.0.0.1:7600")
         self.assertEqual(site.controls[2], "tcp://10.0.0.3:7600")
         self.assertEqual(site.voters, 3)
         self.assertLess(site.lease_seconds, 5.0)
 
-    def test_bounds_that_leave_no_time_are_refused(self):
+    def test_bounds_too_short_for_a_lease_are_rejected(self):
         found = self._read(bounds={"revokeMs": 900})
         self.assertIsInstance(found, list)
         self.assertIn("must be at least", str(found[0]))
 
-    def test_a_missing_field_is_named(self):
+    def test_missing_field_is_named_in_the_finding(self):
         raw = json.dumps({k: v for k, v in SETTINGS.items() if k != "ip"})
-        found = settings.decode(raw.encode(), self._PLACE)
+        found = settings.decode(raw.encode(), self._LOCATION)
         self.assertIn("ip", str(found[0]))
 
 
 class DeployTest(unittest.TestCase):
-    def test_metrics_are_shown_where_the_deploy_file_says(self):
-        """An incident is examined by metrics; a wrong port shows none."""
+    def test_metrics_port_equals_the_port_in_the_deploy_file(self):
+        """Metrics on another port are not scraped: an incident shows none."""
         file = _FOLDER.parent / "deploy" / "system.toml"
         roles = tomllib.loads(file.read_text())["roles"]
         for role in roles.values():
--- a/tests/test_platform_processes.py
+++ b/tests/test_platform_processes.py
@@ -1,4 +1,4 @@
-"""The platform's programs as real processes that are stopped by signals."""
+"""Shutdown of the platform's programs, run as processes, on signals."""
 
 import asyncio
 import json
@@ -14,12 +14,12 @@
 from tests import test_entry_site
 
 _ROOT = pathlib.Path(__file__).parent.parent
-_LONGEST_SECONDS = 60.0
+_TIMEOUT_SECONDS = 60.0
 GRACE_SECONDS = 3
 
 
 def two_free_ports():
-    """Returns a port of which the next one is free too."""
+    """Returns a free port whose successor is also free."""
     while True:
         with socket.socket() as first, socket.socket() as second:
             first.bind(("127.0.0.1", 0))
@@ -65,7 +65,7 @@
         )
         self.target = await standin.Target(standin.hangs).start()
         self.addAsyncCleanup(self.target.close)
-        await self._until_served()
+        await self._configure_and_wait_ready()
 
     async def _start(self, role, *, listen):
         data = self.folder / role
@@ -99,16 +99,16 @@
             stdout=asyncio.subprocess.DEVNULL,
             stderr=asyncio.subprocess.DEVNULL,
         )
-        self.addAsyncCleanup(self._kill, process)
+        self.addAsyncCleanup(self._kill_process, process)
         return process
 
-    async def _kill(self, process):
+    async def _kill_process(self, process):
         if process.returncode is None:
             process.kill()
         await process.wait()
 
-    async def _call(self, address, method, path, body=None):
-        """Returns the status of a call, or 0 without an answer."""
+    async def _request_status(self, address, method, path, body=None):
+        """Returns the HTTP status of a request, or 0 without a response."""
         try:
             caller = await standin.Caller(address).start()
         except OSError:
@@ -127,13 +127,13 @@
         finally:
             caller.close()
 
-    async def _until(self, *call):
-        async with asyncio.timeout(_LONGEST_SECONDS):
-            while await self._call(*call) != 200:
+    async def _wait_for_ok(self, *request):
+        async with asyncio.timeout(_TIMEOUT_SECONDS):
+            while await self._request_status(*request) != 200:
                 await asyncio.sleep(0.05)
 
-    async def _until_served(self):
-        beat = {
+    async def _configure_and_wait_ready(self):
+        heartbeat = {
             "service": "desk",
             "address": self.target.address,
             "zone": "a",
@@ -143,15 +143,15 @@
             "born": 1,
         }
         document = config(timeout_ms=60_000)
-        await self._until(self.control, "PUT", "/config", document)
-        await self._until(self.control, "PUT", "/instances/t1", beat)
-        await self._until(self.ready, "GET", "/readyz")
+        await self._wait_for_ok(self.control, "PUT", "/config", document)
+        await self._wait_for_ok(self.control, "PUT", "/instances/t1", heartbeat)
+        await self._wait_for_ok(self.ready, "GET", "/readyz")
 
-    async def _ask_until_sent(self):
-        """Returns a request that hangs at the target."""
+    async def _request_until_sent(self):
+        """Returns the pending reply of a request that hangs at the target."""
         caller = await standin.Caller(self.front).start()
         self.addCleanup(caller.close)
-        async with asyncio.timeout(_LONGEST_SECONDS):
+        async with asyncio.timeout(_TIMEOUT_SECONDS):
             while not self.target.requests:
                 caller.send(Deadline_Ms=60_000)
                 reply = asyncio.create_task(caller.reply())
@@ -160,20 +160,20 @@
         return reply
 
     async def _check_stop(self, *signals):
-        reply = await self._ask_until_sent()
-        for number in signals:
-            self.edge.send_signal(number)
+        reply = await self._request_until_sent()
+        for signal_number in signals:
+            self.edge.send_signal(signal_number)
             await asyncio.sleep(0.1)
-        async with asyncio.timeout(_LONGEST_SECONDS):
+        async with asyncio.timeout(_TIMEOUT_SECONDS):
             answer = await reply
             self.assertEqual(0, await self.edge.wait())
         self.assertEqual((502, True), (answer.status, answer.whole))
 
-    async def test_sigterm_leaves_no_request_without_an_answer(self):
-        """Guards against connections closed with no answer at a stop."""
+    async def test_sigterm_answers_the_pending_request_before_exit(self):
+        """Guards against connections closed without a response at shutdown."""
         await self._check_stop(signal.SIGTERM)
 
-    async def test_a_second_sigterm_and_a_reload_change_nothing(self):
+    async def test_repeated_sigterm_and_reload_do_not_cut_the_shutdown(self):
         await self._check_stop(signal.SIGHUP, signal.SIGTERM, signal.SIGTERM)
 
 
