--- a/packages/endivestream-cli/src/endivestream_cli/client.py
+++ b/packages/endivestream-cli/src/endivestream_cli/client.py
@@ -1,4 +1,4 @@
-"""Talks to the operators' interface of any host."""
+"""HTTP client of the operators' interface that every host serves."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Answer(NamedTuple):
-    """What a host answered.
+    """Response of a host.
 
     Attributes:
         status: HTTP status; 0 when no host could be reached.
@@ -26,18 +26,21 @@
 
 
 class Client:
-    """Tries its addresses in order until one answers."""
+    """Sends each request to its addresses in order until one responds.
+
+    A response with status 503 counts as none.
+    """
 
     def __init__(self, *, addresses: list[str], token: str) -> None:
         self._addresses = addresses
         self._token = token
 
     def get(self, path: str) -> Answer:
-        """Reads a view."""
+        """Fetches a view."""
         return self._call("GET", path, None)
 
     def post(self, path: str, body: dict[str, Any]) -> Answer:
-        """Sends a change. Changes carry an id, so trying on is safe."""
+        """Sends a change. A change has an id, so that retries are safe."""
         return self._call("POST", path, json.dumps(body).encode())
 
     def _call(self, method: str, path: str, body: bytes | None) -> Answer:
@@ -45,7 +48,7 @@
         failures = []
         try:
             for address in self._addresses:
-                answer = self._try(client, address, method, path, body)
+                answer = self._try_address(client, address, method, path, body)
                 if isinstance(answer, str):
                     failures.append(f"{address}: {answer}")
                     continue
@@ -54,10 +57,10 @@
                 failures += answer.body.get("error", {}).get("findings", [])
         finally:
             client.close()
-        found = {"error": {"type": "unreachable", "findings": failures}}
-        return Answer(0, found)
+        failure_body = {"error": {"type": "unreachable", "findings": failures}}
+        return Answer(0, failure_body)
 
-    def _try(
+    def _try_address(
         self,
         client: httpclient.HTTPClient,
         address: str,
--- a/packages/endivestream-cli/src/endivestream_cli/main.py
+++ b/packages/endivestream-cli/src/endivestream_cli/main.py
@@ -1,4 +1,4 @@
-"""The command `endivestream`: rules, keys, targets and status."""
+"""The operators' command `endivestream`: rules, keys, targets and status."""
 
 from __future__ import annotations
 
@@ -137,7 +137,7 @@
 
 
 class _Command:
-    """One run of the command."""
+    """Runs the command once with its parsed arguments."""
 
     def __init__(self, *, arguments: argparse.Namespace) -> None:
         self._arguments = arguments
@@ -160,7 +160,7 @@
             case "rules", "apply":
                 return self._rules_apply()
             case "rules", "history":
-                return self._view("history")
+                return self._show_view("history")
             case "rules", "show":
                 return self._rules_show()
             case "key", "create":
@@ -168,45 +168,45 @@
             case "key", "revoke":
                 return self._key_revoke()
             case "key", "list":
-                return self._view("keys")
+                return self._show_view("keys")
             case "target", "list":
-                return self._view("targets")
+                return self._show_view("targets")
             case "target", "drain":
                 return self._target_drain()
             case "voter", "list":
-                return self._view("voters")
+                return self._show_view("voters")
             case "voter", "remove":
                 return self._voter_remove()
             case "link-key", _:
                 return self._link_key()
             case "models", _:
-                return self._view("models")
+                return self._show_view("models")
             case "status", _:
-                return self._view("status")
+                return self._show_view("status")
         raise AssertionError(f"no such command {arguments.command!r}")
 
-    def _print(self, body: Any, text: str) -> None:
+    def _print_result(self, body: Any, text: str) -> None:
         if self._arguments.output == "json":
             print(json.dumps(body, indent=2))
         elif text:
             print(text)
 
-    def _failed(self, answer: client_lib.Answer) -> int:
-        """Prints findings; returns the exit status for them."""
+    def _report_failure(self, answer: client_lib.Answer) -> int:
+        """Prints the findings of a failed request; returns the exit status."""
         error = answer.body.get("error", {})
         if self._arguments.output == "json":
             print(json.dumps(answer.body, indent=2))
-        for found in error.get("findings", [f"status {answer.status}"]):
-            print(found, file=sys.stderr)
+        for finding in error.get("findings", [f"status {answer.status}"]):
+            print(finding, file=sys.stderr)
         if answer.status == 0:
             return EXIT_UNREACHABLE
         return EXIT_CONFLICT if answer.status == 409 else EXIT_REJECTED
 
-    def _view(self, view: str) -> int:
+    def _show_view(self, view: str) -> int:
         answer = self._client.get(f"/operators/{view}")
         if answer.status != 200:
-            return self._failed(answer)
-        self._print(answer.body, show.view(view, answer.body))
+            return self._report_failure(answer)
+        self._print_result(answer.body, show.view(view, answer.body))
         return EXIT_OK
 
     def _read_file(self) -> str | None:
@@ -216,15 +216,15 @@
             print(f"{self._arguments.file}: {error}", file=sys.stderr)
             return None
 
-    def _named(self, answer: client_lib.Answer) -> client_lib.Answer:
-        """Puts the file's name into findings, which say `rules:LINE`."""
-        for name, found in answer.body.get("error", {}).items():
+    def _with_file_name(self, answer: client_lib.Answer) -> client_lib.Answer:
+        """Replaces `rules:LINE` by the file's name and line in findings."""
+        for name, findings in answer.body.get("error", {}).items():
             if name == "findings":
-                found[:] = [
+                findings[:] = [
                     f"{self._arguments.file}:{text[6:]}"
                     if text.startswith("rules:")
                     else text
-                    for text in found
+                    for text in findings
                 ]
         return answer
 
@@ -243,8 +243,8 @@
             },
         )
         if answer.status != 200:
-            return self._failed(self._named(answer))
-        self._print(answer.body, "ok")
+            return self._report_failure(self._with_file_name(answer))
+        self._print_result(answer.body, "ok")
         return EXIT_OK
 
     def _rules_diff(self) -> int:
@@ -253,7 +253,7 @@
             return EXIT_USAGE
         answer = self._client.get("/operators/rules")
         if answer.status != 200:
-            return self._failed(answer)
+            return self._report_failure(answer)
         lines = difflib.unified_diff(
             answer.body["text"].splitlines(),
             text.splitlines(),
@@ -262,14 +262,14 @@
             lineterm="",
         )
         diff = list(lines)
-        self._print({"diff": diff}, "\n".join(diff))
+        self._print_result({"diff": diff}, "\n".join(diff))
         return EXIT_OK
 
     def _rules_show(self) -> int:
         answer = self._client.get("/operators/rules")
         if answer.status != 200:
-            return self._failed(answer)
-        self._print(answer.body, answer.body["text"].rstrip("\n"))
+            return self._report_failure(answer)
+        self._print_result(answer.body, answer.body["text"].rstrip("\n"))
         return EXIT_OK
 
     def _rules_apply(self) -> int:
@@ -280,7 +280,7 @@
         if expected is None:
             answer = self._client.get("/operators/rules")
             if answer.status != 200:
-                return self._failed(answer)
+                return self._report_failure(answer)
             expected = answer.body["version"]
         return self._change(
             "/operators/rules/apply",
@@ -293,8 +293,8 @@
         )
 
     def _key_create(self) -> int:
-        # The secret is made here and only its digest is sent: no host, log
-        # or target ever sees it before a caller presents it.
+        # The secret is generated here and only its digest is sent: no host,
+        # log or target has the secret before a caller presents it.
         secret = secrets.token_urlsafe(32)
         digest = hashlib.sha256(secret.encode()).hexdigest()
         return self._change(
@@ -305,7 +305,7 @@
                 "digest": digest,
             },
             "key",
-            more={"key": secret},
+            extra={"key": secret},
         )
 
     def _key_revoke(self) -> int:
@@ -316,8 +316,8 @@
         self,
         path: str,
         body: dict[str, Any],
-        what: str,
-        more: dict[str, str] | None = None,
+        subject: str,
+        extra: dict[str, str] | None = None,
     ) -> int:
         wait = self._arguments.wait
         change_id = self._arguments.change_id or uuid.uuid4().hex
@@ -334,17 +334,17 @@
                     f"--change-id {change_id}",
                     file=sys.stderr,
                 )
-            return self._failed(self._named(answer))
-        shown = {**answer.body, **(more or {})}
-        text = f"{what}: version {shown['version']}"
-        if wait and shown["in_force"]:
+            return self._report_failure(self._with_file_name(answer))
+        result = {**answer.body, **(extra or {})}
+        text = f"{subject}: version {result['version']}"
+        if wait and result["in_force"]:
             text += ", in force on every host"
         elif wait:
-            text += f", not yet in force on {', '.join(shown['lagging'])}"
-        if more:
-            text += "".join(f"\n{name}: {v}" for name, v in more.items())
-        self._print(shown, text)
-        if wait and not shown["in_force"]:
+            text += f", not yet in force on {', '.join(result['lagging'])}"
+        if extra:
+            text += "".join(f"\n{name}: {v}" for name, v in extra.items())
+        self._print_result(result, text)
+        if wait and not result["in_force"]:
             return EXIT_NOT_IN_FORCE
         return EXIT_OK
 
@@ -355,17 +355,19 @@
             {"draining": not self._arguments.undo},
         )
         if answer.status != 200:
-            return self._failed(answer)
+            return self._report_failure(answer)
         state = "gets work" if self._arguments.undo else "gets no new work"
-        self._print(answer.body, f"{self._arguments.name} {state}")
+        self._print_result(answer.body, f"{self._arguments.name} {state}")
         return EXIT_OK
 
     def _voter_remove(self) -> int:
         name = urllib.parse.quote(self._arguments.name, safe="")
         answer = self._client.post(f"/operators/voters/{name}/remove", {})
         if answer.status != 200:
-            return self._failed(answer)
-        self._print(answer.body, f"{self._arguments.name} is being removed")
+            return self._report_failure(answer)
+        self._print_result(
+            answer.body, f"{self._arguments.name} is being removed"
+        )
         return EXIT_OK
 
     def _link_key(self) -> int:
@@ -376,7 +378,7 @@
         except OSError as error:
             print(error, file=sys.stderr)
             return EXIT_USAGE
-        self._print(
+        self._print_result(
             {"public": public, "secret": secret},
             f"public: {public}\nsecret: {secret}",
         )
@@ -384,5 +386,5 @@
 
 
 def main() -> None:
-    """Entry point of `endivestream`."""
+    """Runs the command `endivestream` and exits with its status."""
     sys.exit(_Command(arguments=_parser().parse_args()).run())
--- a/packages/endivestream-cli/src/endivestream_cli/show.py
+++ b/packages/endivestream-cli/src/endivestream_cli/show.py
@@ -1,4 +1,4 @@
-"""Tables that a person can read."""
+"""Formats operators' views as aligned text tables."""
 
 from __future__ import annotations
 
@@ -8,13 +8,18 @@
 
 
 def view(name: str, body: Any) -> str:
-    """Returns a view as text."""
+    """Returns the text form of the view `name` with content `body`."""
     match name:
         case "history":
             return table(
                 ("version", "at", "author", "change"),
                 (
-                    (c["version"], _time(c["at"]), c["author"], c["comment"])
+                    (
+                        c["version"],
+                        _format_utc(c["at"]),
+                        c["author"],
+                        c["comment"],
+                    )
                     for c in body
                 ),
             )
@@ -34,7 +39,7 @@
         case "targets":
             return table(
                 ("name", "kind", "domain", "state", "memory", "models"),
-                (_target(row) for row in body),
+                (_target_row(row) for row in body),
             )
         case "voters":
             columns = ("name", "identity", "role", "address", "behind")
@@ -48,10 +53,10 @@
         case "models":
             return table(("model", "copies"), body.items())
         case _:
-            return "\n".join(_status(body))
+            return "\n".join(_status_lines(body))
 
 
-def _target(row: dict[str, Any]) -> tuple[Any, ...]:
+def _target_row(row: dict[str, Any]) -> tuple[Any, ...]:
     state = "live" if row["live"] else f"silent {row['silent_s']} s"
     if row["draining"]:
         state = "draining"
@@ -60,7 +65,7 @@
     return row["name"], row["kind"], row["domain"], state, memory, loaded
 
 
-def _status(body: dict[str, Any]) -> Iterable[str]:
+def _status_lines(body: dict[str, Any]) -> Iterable[str]:
     for name, value in body.items():
         if name == "hosts":
             yield "hosts:"
@@ -74,15 +79,15 @@
             yield f"{name}: {value}"
 
 
-def _time(at: float) -> str:
-    moment = datetime.datetime.fromtimestamp(at, tz=datetime.UTC)
-    return moment.strftime("%Y-%m-%d %H:%M:%S")
+def _format_utc(timestamp: float) -> str:
+    utc = datetime.datetime.fromtimestamp(timestamp, tz=datetime.UTC)
+    return utc.strftime("%Y-%m-%d %H:%M:%S")
 
 
-def table(head: tuple[str, ...], rows: Iterable[Iterable[Any]]) -> str:
-    """Returns rows under a head, in aligned columns."""
-    lines = [tuple(str(cell) for cell in row) for row in (head, *rows)]
-    widths = [max(len(line[n]) for line in lines) for n in range(len(head))]
+def table(header: tuple[str, ...], rows: Iterable[Iterable[Any]]) -> str:
+    """Returns a header and rows as text, in aligned columns."""
+    lines = [tuple(str(cell) for cell in row) for row in (header, *rows)]
+    widths = [max(len(line[n]) for line in lines) for n in range(len(header))]
     return "\n".join(
         "  ".join(
             cell.ljust(width) for cell, width in zip(line, widths, strict=True)
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,7 +1,7 @@
 """Runs all tests: `python -m tests [PATTERN]`.
 
-A test that fails for a known, listed fault (KNOWN-RED.txt) is printed and
-passed over. A listed test that passes is a failure: its line must go.
+A failing test that KNOWN-RED.txt lists is printed and does not fail the run.
+A listed test that passes fails the run: remove its line from the file.
 """
 
 import logging
@@ -13,11 +13,11 @@
 from loguru import logger
 
 _ROOT = pathlib.Path(__file__).parent.parent
-sys.path.insert(0, str(_ROOT / "benchmarks"))  # The stand-ins live there.
-_MOST_KNOWN_RED = 3
+sys.path.insert(0, str(_ROOT / "benchmarks"))  # Contains package standins.
+_MAX_KNOWN_RED = 3
 
-# The same verdict on every run: no random seed, no database of examples, no
-# time limit that a busy machine could break.
+# Makes every run give the same result: no random seed, no database of
+# examples, no deadline that a test could miss on a busy machine.
 hypothesis.settings.register_profile(
     "ci",
     derandomize=True,
@@ -34,43 +34,43 @@
     if not path.exists():
         return {}
     lines = [line for line in path.read_text().splitlines() if line.strip()]
-    if len(lines) > _MOST_KNOWN_RED:
+    if len(lines) > _MAX_KNOWN_RED:
         sys.exit(f"KNOWN-RED.txt: {len(lines)} lines, at most three")
     return {line.split(",", 1)[0].strip(): line for line in lines}
 
 
-def _names(tests: unittest.TestSuite | unittest.TestCase) -> set[str]:
-    """Returns the names of all tests of a suite."""
+def _test_ids(tests: unittest.TestSuite | unittest.TestCase) -> set[str]:
+    """Returns the ids of all tests of a suite."""
     if isinstance(tests, unittest.TestCase):
         return {tests.id()}
-    return {name for each in tests for name in _names(each)}
+    return {name for child in tests for name in _test_ids(child)}
 
 
 def main() -> int:
     """Runs the tests and returns the exit status."""
     logger.remove()
-    # Stand-ins that cut connections on purpose make their library complain.
+    # Tornado logs errors when the stand-ins cut connections on purpose.
     logging.disable(logging.ERROR)
     pattern = sys.argv[1] if len(sys.argv) > 1 else "test_*.py"
     suite = unittest.defaultTestLoader.discover(
         str(_ROOT / "tests"), pattern=pattern, top_level_dir=str(_ROOT)
     )
-    names = _names(suite)
+    selected = _test_ids(suite)
     result = unittest.TextTestRunner(verbosity=1).run(suite)
     known = _known_red()
     if len(sys.argv) > 1:
-        # A run of some tests says nothing of the others.
-        known = {name: line for name, line in known.items() if name in names}
+        # A partial run checks only the listed tests that it selects.
+        known = {name: line for name, line in known.items() if name in selected}
     failed = {test.id() for test, _ in result.failures + result.errors}
     for name in sorted(failed & set(known)):
         print(f"known red: {known[name]}")
-    healed = set(known) - failed
-    for name in sorted(healed):
+    fixed = set(known) - failed
+    for name in sorted(fixed):
         print(f"listed in KNOWN-RED.txt but not failing: {name}")
-    real = len(failed - set(known)) + len(healed)
-    real += len(result.unexpectedSuccesses)
-    print(f"{result.testsRun - len(failed)} passed, {real} failed")
-    return 1 if real or not result.testsRun else 0
+    failure_count = len(failed - set(known)) + len(fixed)
+    failure_count += len(result.unexpectedSuccesses)
+    print(f"{result.testsRun - len(failed)} passed, {failure_count} failed")
+    return 1 if failure_count or not result.testsRun else 0
 
 
 if __name__ == "__main__":
