--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -1,6 +1,6 @@
-"""Real processes on loopback, for the demo, tests and benchmarks.
+"""Starts real processes on loopback for the demo, tests and benchmarks.
 
-Every process binds port 0 and says in its log which port it got.
+Every process binds port 0 and logs the port that the kernel assigned.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 
 def wait_for(condition: Any, what: str, seconds: float = _START_SECONDS) -> Any:
     """Waits until `condition()` is true and returns its value."""
-    until = time.monotonic() + seconds
-    while time.monotonic() < until:
+    deadline = time.monotonic() + seconds
+    while time.monotonic() < deadline:
         value = condition()
         if value:
             return value
@@ -40,7 +40,7 @@
     body: Any = None,
     seconds: float = 30.0,
 ) -> tuple[int, dict[str, str], bytes]:
-    """Returns status, headers and body; status 0 when nothing answers."""
+    """Returns status, headers and body; status 0 without a response."""
     data = None
     if body is not None:
         data = body if isinstance(body, bytes) else json.dumps(body).encode()
@@ -57,13 +57,15 @@
 
 
 def _python_path() -> str:
-    """Returns the search path with this folder first."""
-    here = str(pathlib.Path(__file__).parent)
-    return os.pathsep.join([here, os.environ.get("PYTHONPATH", "")])
+    """Returns a value of PYTHONPATH that starts with this folder."""
+    benchmarks_folder = str(pathlib.Path(__file__).parent)
+    return os.pathsep.join(
+        [benchmarks_folder, os.environ.get("PYTHONPATH", "")]
+    )
 
 
 class Process:
-    """One process that we started."""
+    """A child process whose output goes to a log file."""
 
     def __init__(
         self, *, arguments: list[str], log: pathlib.Path, name: str
@@ -83,44 +85,44 @@
         )
 
     def signal(self, number: int) -> None:
-        """Sends a signal to this process alone."""
+        """Sends a signal to the process."""
         self.process.send_signal(number)
 
     def kill(self) -> None:
-        """Ends it at once."""
+        """Kills the process with SIGKILL and closes its log file."""
         if self.process.poll() is None:
             self.signal(signal.SIGKILL)
             self.process.wait()
         self._file.close()
 
     def stop(self, seconds: float = 30.0) -> int:
-        """Asks it to stop and returns its exit status."""
+        """Sends SIGTERM, waits for the exit and returns the exit status."""
         self.signal(signal.SIGTERM)
         status = self.process.wait(timeout=seconds)
         self._file.close()
         return status
 
     def cpu_seconds(self) -> float:
-        """Returns the processor time it has used."""
+        """Returns the processor time that the process has used in seconds."""
         path = f"/proc/{self.process.pid}/stat"
         fields = pathlib.Path(path).read_text().rsplit(") ", 1)[1].split()
         ticks = int(fields[11]) + int(fields[12])
         return ticks / os.sysconf("SC_CLK_TCK")
 
     def memory_mib(self) -> float:
-        """Returns its resident memory."""
+        """Returns the resident memory of the process in MiB."""
         path = f"/proc/{self.process.pid}/statm"
-        pages = int(pathlib.Path(path).read_text().split()[1])
-        return pages * os.sysconf("SC_PAGE_SIZE") / 2**20
+        page_count = int(pathlib.Path(path).read_text().split()[1])
+        return page_count * os.sysconf("SC_PAGE_SIZE") / 2**20
 
 
 class Daemon(Process):
-    """One `endivestreamd`, whose addresses are read off its log."""
+    """An `endivestreamd` process whose addresses are read from its log."""
 
     def __init__(
         self, *, folder: pathlib.Path, name: str, arguments: list[str]
     ) -> None:
-        self._started: dict[str, str] = {}
+        self._started_fields: dict[str, str] = {}
         super().__init__(
             arguments=[str(_BIN / "endivestreamd"), *arguments],
             log=folder / f"{name}.log",
@@ -129,32 +131,32 @@
 
     @property
     def address(self) -> str:
-        """IP:PORT for operators."""
+        """`IP:PORT` for operators and targets."""
         return self._started_field("inner")
 
     @property
     def url(self) -> str:
-        """Where callers reach it."""
+        """Base URL for callers."""
         return f"http://{self._started_field('callers')}"
 
     @property
     def inner_url(self) -> str:
-        """Where operators and targets reach it."""
+        """Base URL for operators and targets."""
         return f"http://{self.address}"
 
     @property
     def peers_address(self) -> str:
-        """Where other hosts reach its control role."""
+        """Address of its control role for other hosts."""
         return self._started_field("control")
 
     def _started_field(self, name: str) -> str:
-        if not self._started:
-            self._started = wait_for(
-                self._read_started, f"{self.name} has started"
+        if not self._started_fields:
+            self._started_fields = wait_for(
+                self._read_started_fields, f"{self.name} has started"
             )
-        return self._started[name]
+        return self._started_fields[name]
 
-    def _read_started(self) -> dict[str, str]:
+    def _read_started_fields(self) -> dict[str, str]:
         if self.process.poll() is not None:
             raise RuntimeError(f"{self.name} ended:\n{self.log.read_text()}")
         text = self.log.read_bytes()[self._log_start :].decode()
@@ -166,7 +168,7 @@
         return {}
 
     def wait_ready(self) -> None:
-        """Waits until it takes work."""
+        """Waits until the readiness check succeeds."""
         wait_for(
             lambda: fetch(f"{self.url}/readyz", seconds=1.0)[0] == 200,
             f"{self.name} is ready",
@@ -174,7 +176,7 @@
 
 
 class Bare(Daemon):
-    """One `endivestreamd` without a settings file."""
+    """An `endivestreamd` process without a settings file."""
 
     def __init__(self, *, folder: pathlib.Path) -> None:
         super().__init__(
@@ -190,7 +192,7 @@
 
 
 class Host(Daemon):
-    """One `endivestreamd` of a site."""
+    """An `endivestreamd` process with a settings file, one host of a site."""
 
     def __init__(
         self,
@@ -208,20 +210,22 @@
         """Starts a host.
 
         Args:
-            folder: Where its files go.
-            name: Its name.
-            domain: Its failure domain.
-            control: Control hosts' addresses; empty to form a system.
-            disk: Whether it holds a replica.
-            address: Where its control role listens.
-            again: The host that it is a restart of, whose addresses it takes:
-                targets and callers know those.
-            more: Further sections of the settings.
+            folder: Folder of the log, settings and data of the host.
+            name: Name of the host.
+            domain: Failure domain of the host.
+            control: Addresses of the control hosts; empty to form a system.
+            disk: Whether the host has a replica of the log; None for a
+                replica if `control` is empty.
+            address: Listening address of the control role.
+            again: Host to restart, or None for a new host. The restarted host
+                listens on the same HTTP addresses, because targets and
+                callers use them.
+            more: Further sections of the settings file.
             more_peers: Further lines of the section `peers`.
         """
-        ports = ["127.0.0.1:0"] * 2
+        http_addresses = ["127.0.0.1:0"] * 2
         if again is not None:
-            ports = [again.url.removeprefix("http://"), again.address]
+            http_addresses = [again.url.removeprefix("http://"), again.address]
         self.data_folder = folder / name
         disk = not control if disk is None else disk
         data = f'data_folder = "{self.data_folder}"' if disk else ""
@@ -229,8 +233,8 @@
         settings = folder / f"{name}.toml"
         settings.write_text(
             f'[host]\nname = "{name}"\ndomain = "{domain}"\n{data}\n'
-            f'[http]\naddress = "{ports[0]}"\n'
-            f'inner_address = "{ports[1]}"\n'
+            f'[http]\naddress = "{http_addresses[0]}"\n'
+            f'inner_address = "{http_addresses[1]}"\n'
             f'[peers]\naddress = "{address}"\n{peers}\n{more_peers}\n{more}\n'
         )
         super().__init__(
@@ -239,7 +243,7 @@
 
 
 class ControlSite:
-    """Several control hosts, of which the first formed the system."""
+    """A group of control hosts; the first forms the system, others join."""
 
     def __init__(
         self,
@@ -264,7 +268,7 @@
 
     @property
     def addresses(self) -> list[str]:
-        """Where the control roles listen."""
+        """Listening addresses of the control roles."""
         return list(self._addresses)
 
     def _start(
@@ -287,14 +291,14 @@
         )
 
     def restart(self, name: str) -> Host:
-        """Starts a killed host again, on its old address."""
+        """Restarts a killed host on its previous addresses."""
         address = self._addresses[int(name[1:])]
         host = self._start(name, self._addresses, address, self.hosts[name])
         self.hosts[name] = host
         return host
 
     def operate(self, *arguments: str, through: str = "") -> Any:
-        """Runs the operators' command through any live host."""
+        """Runs the operators' command through one host or any live host."""
         hosts = [self.hosts[through]] if through else self.hosts.values()
         options = [f"--address={host.address}" for host in hosts]
         return subprocess.run(
@@ -310,9 +314,9 @@
         )
 
     def view(self, *arguments: str) -> Any:
-        """Returns a view, or an empty list if nobody leads."""
-        done = self.operate(*arguments)
-        return json.loads(done.stdout) if done.returncode == 0 else []
+        """Returns an operators' view, or an empty list without a leader."""
+        completed = self.operate(*arguments)
+        return json.loads(completed.stdout) if completed.returncode == 0 else []
 
     def voters(self) -> list[str]:
         """Returns the names of the voters."""
@@ -330,7 +334,7 @@
         return wait_for(self.leader, "a leader")
 
     def close(self) -> None:
-        """Ends all hosts."""
+        """Kills all hosts."""
         for host in self.hosts.values():
             host.kill()
 
@@ -354,7 +358,7 @@
 
 
 def operate(*arguments: str, address: str) -> subprocess.CompletedProcess:
-    """Runs the operators' command."""
+    """Runs the operators' command against one host."""
     return subprocess.run(
         [str(_BIN / "endivestream"), "--address", address, *arguments],
         capture_output=True,
--- a/benchmarks/standins/__init__.py
+++ b/benchmarks/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for targets, for tests, the demo and benchmarks."""
+"""Simulated targets for tests, the demo and benchmarks."""
--- a/benchmarks/standins/engine.py
+++ b/benchmarks/standins/engine.py
@@ -1,7 +1,8 @@
-"""A stand-in engine: continuous batching, prefix cache, orders with fencing.
+"""Stand-in model engine with continuous batching, prefix cache and fencing.
 
-Its text is a function of the prompt and the token's number, so any copy
-continues another's stream, and a reader can check that every token came once.
+Each token is a function of the prompt and the token's number. So any engine
+can continue the stream of another one, and a reader can check that it received
+every token exactly once.
 """
 
 from __future__ import annotations
@@ -24,35 +25,39 @@
 
 
 def token(prompt: str, number: int) -> str:
-    """Returns token `number` (from 1) of the answer to a prompt."""
+    """Returns token `number` (from 1) of the response to a prompt."""
     digest = hashlib.blake2b(f"{prompt}\0{number}".encode(), digest_size=3)
     return f"{digest.hexdigest()} "
 
 
 def prompt_of(body: dict[str, Any]) -> str:
-    """Returns the text that an answer is a function of."""
+    """Returns the prompt of a request body, from which tokens are derived."""
     return json.dumps(body.get("messages") or body.get("prompt"))
 
 
 @dataclasses.dataclass(kw_only=True)
 class Options:
-    """How an engine behaves.
+    """Speeds, capacities and injected faults of an engine.
 
     Attributes:
-        step_seconds: One decoding step of the whole batch.
-        prefill_tokens: Prompt tokens read a second.
-        load_seconds: To load a model.
-        adapter_seconds: To load an adapter at its first use.
-        adapters: Adapters kept loaded; the one used longest ago goes.
-        cache_blocks: Prefix cache, in blocks of 64 bytes.
-        fencing: Whether old fencing tokens are refused.
-        lose_orders: Orders to ignore, counted down.
+        step_seconds: Duration of one decoding step of the batch.
+        prefill_tokens: Prompt tokens processed a second.
+        load_seconds: Time to load a model.
+        adapter_seconds: Time to load an adapter at its first use.
+        adapters: Maximum of loaded adapters; the least recently used one is
+            evicted.
+        cache_blocks: Size of the prefix cache in blocks of 64 bytes.
+        fencing: Whether orders with old fencing tokens are refused.
+        lose_orders: Number of orders to ignore; decremented at each.
         late_orders_seconds: Delay before an order is carried out.
-        break_after: Cut the connection after so many tokens; 0 for never.
-        stall_after: Say no more after so many tokens; 0 for never.
-        end_after: End the answer in good order, but without its final
-            marker, after so many tokens; 0 for never.
-        wrong_attempt: Answer with another attempt's id and words.
+        break_after: Number of tokens after which the connection is closed;
+            0 for never.
+        stall_after: Number of tokens after which nothing more is sent;
+            0 for never.
+        end_after: Number of tokens after which the response ends regularly,
+            but without its final marker; 0 for never.
+        wrong_attempt: Whether to respond with the id and tokens of another
+            attempt.
     """
 
     step_seconds: float = 0.01
@@ -73,13 +78,23 @@
 @dataclasses.dataclass(kw_only=True, eq=False)
 class _Sequence:
     prompt: str
-    done: int
-    last: int
+    generated: int
+    token_limit: int
     events: asyncio.Queue[int]
 
 
 class Engine(target_lib.Target):
-    """One engine process or task."""
+    """Simulated model engine that runs as a process or as a task.
+
+    Attributes:
+        options: Speeds, capacities and injected faults.
+        loaded: Memory of each loaded model.
+        slots: Number of requests that may run in parallel.
+        seen: Received completion requests: headers, body and uri.
+        cancelled: Number of requests whose connection closed prematurely.
+        cache_hits: Number of prompt blocks found in the prefix cache.
+        most_memory: Maximum of the memory used by loaded models.
+    """
 
     def __init__(
         self,
@@ -123,11 +138,11 @@
         self._adapters: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
-        self._stepping: asyncio.Task[None] | None = None
+        self._step_task: asyncio.Task[None] | None = None
         self._orders: set[asyncio.Task[None]] = set()
 
     def serve(self, port: int = 0) -> int:
-        """Starts; returns the port."""
+        """Starts to serve, announce and report; returns the port."""
         routes = [
             (r"/v1/(chat/)?completions", _CompletionHandler, {"engine": self}),
             (r"/endivestream/orders", _OrderHandler, {"engine": self}),
@@ -139,17 +154,22 @@
         return port
 
     def report(self) -> dict[str, Any]:
-        """Returns what is loaded and how much is left to do."""
+        """Returns the loaded models and the load for the next report."""
         return {
             "loaded": sorted(self.loaded),
             "running": len(self._batch),
-            "queued_tokens": sum(s.last - s.done for s in self._batch),
+            "queued_tokens": sum(
+                s.token_limit - s.generated for s in self._batch
+            ),
         }
 
     def prefill_seconds(self, prompt: str) -> float:
-        """Returns the time to read a prompt, less what the cache covers."""
+        """Returns the prefill time of the blocks that are not in the cache.
+
+        Adds these blocks to the cache.
+        """
         digest = hashlib.blake2b(digest_size=8)
-        missing = 0
+        missing_blocks = 0
         for start in range(0, len(prompt), _BLOCK_BYTES):
             digest.update(prompt[start : start + _BLOCK_BYTES].encode())
             name = digest.hexdigest()
@@ -157,51 +177,54 @@
                 self._cache.move_to_end(name)
                 self.cache_hits += 1
                 continue
-            missing += 1
+            missing_blocks += 1
             self._cache[name] = None
             if len(self._cache) > self.options.cache_blocks:
                 self._cache.popitem(last=False)
-        return missing * _BLOCK_BYTES / 4 / self.options.prefill_tokens
+        return missing_blocks * _BLOCK_BYTES / 4 / self.options.prefill_tokens
 
     def adapter_seconds(self, model: str, adapter: str) -> float:
-        """Returns the time until an adapter is there."""
+        """Returns the time to load an adapter and marks it as loaded."""
         if adapter == model:
             return 0.0
-        known = adapter in self._adapters
+        is_loaded = adapter in self._adapters
         self._adapters[adapter] = None
         self._adapters.move_to_end(adapter)
         if len(self._adapters) > self.options.adapters:
             self._adapters.popitem(last=False)
-        return 0.0 if known else self.options.adapter_seconds
+        return 0.0 if is_loaded else self.options.adapter_seconds
 
-    def add(self, prompt: str, done: int, last: int) -> _Sequence:
-        """Puts a sequence into the running batch."""
+    def add(self, prompt: str, generated: int, token_limit: int) -> _Sequence:
+        """Adds a sequence to the running batch."""
         sequence = _Sequence(
-            prompt=prompt, done=done, last=last, events=asyncio.Queue()
+            prompt=prompt,
+            generated=generated,
+            token_limit=token_limit,
+            events=asyncio.Queue(),
         )
         self._batch.append(sequence)
-        if self._stepping is None or self._stepping.done():
-            self._stepping = asyncio.create_task(self._step())
+        if self._step_task is None or self._step_task.done():
+            self._step_task = asyncio.create_task(self._run_steps())
         return sequence
 
     def remove(self, sequence: _Sequence) -> None:
-        """Takes a sequence out, done or cancelled."""
+        """Removes a finished or cancelled sequence from the batch."""
         if sequence in self._batch:
             self._batch.remove(sequence)
 
-    async def _step(self) -> None:
+    async def _run_steps(self) -> None:
         due = time.monotonic()
         while self._batch:
             due = max(due + self.options.step_seconds, time.monotonic())
             await asyncio.sleep(due - time.monotonic())
             for sequence in list(self._batch):
-                sequence.done += 1
-                sequence.events.put_nowait(sequence.done)
-                if sequence.done >= sequence.last:
+                sequence.generated += 1
+                sequence.events.put_nowait(sequence.generated)
+                if sequence.generated >= sequence.token_limit:
                     self._batch.remove(sequence)
 
     def order(self, order: dict[str, Any]) -> str:
-        """Takes an order; returns why it is refused, or an empty string."""
+        """Accepts an order; returns the refusal reason or an empty string."""
         if order["incarnation"] != self.info["incarnation"]:
             return "order for another incarnation"
         if self.options.fencing and order["fence"] < self._fence:
@@ -227,10 +250,10 @@
         self.engine = engine
 
     def post(self) -> None:
-        refused = self.engine.order(json.loads(self.request.body))
-        if refused:
+        refusal = self.engine.order(json.loads(self.request.body))
+        if refusal:
             self.set_status(409)
-        self.write({"accepted": not refused, "reason": refused})
+        self.write({"accepted": not refusal, "reason": refusal})
 
 
 class _CompletionHandler(web.RequestHandler):
@@ -253,33 +276,34 @@
             self.write({"error": {"message": "draining"}})
             return
         prompt = prompt_of(body)
-        resumed = body.get("endivestream", {}).get("continue_from", {})
-        done = resumed.get("tokens", 0)
+        continuation = body.get("endivestream", {}).get("continue_from", {})
+        generated = continuation.get("tokens", 0)
         model = self.request.headers.get("Endivestream-Model", body["model"])
         await asyncio.sleep(self.engine.adapter_seconds(model, body["model"]))
         await asyncio.sleep(self.engine.prefill_seconds(prompt))
         if self.request.connection.stream.closed():
-            # Finishing now would keep the library from telling us.
+            # Finishing here would keep Tornado from calling
+            # on_connection_close, so the request is counted here.
             self._count_cancelled()
             return
-        self._sequence = self.engine.add(prompt, done, body["max_tokens"])
+        self._sequence = self.engine.add(prompt, generated, body["max_tokens"])
         self.set_header("Content-Type", "text/event-stream")
         self.request.connection.stream.set_nodelay(True)
         try:
-            await self._stream(body, prompt, done, bool(chat))
+            await self._stream(body, prompt, generated, bool(chat))
         except iostream.StreamClosedError:
             pass  # Counted by on_connection_close.
         finally:
             self.engine.remove(self._sequence)
 
     async def _stream(
-        self, body: dict[str, Any], prompt: str, done: int, chat: bool
+        self, body: dict[str, Any], prompt: str, generated: int, chat: bool
     ) -> None:
         assert self._sequence is not None
         options = self.engine.options
         sent = 0
-        while done < body["max_tokens"]:
-            done = await self._sequence.events.get()
+        while generated < body["max_tokens"]:
+            generated = await self._sequence.events.get()
             if options.break_after and sent >= options.break_after:
                 self.request.connection.stream.close()
                 return
@@ -288,36 +312,38 @@
             if options.end_after and sent >= options.end_after:
                 await self.finish()
                 return
-            text = token(prompt, done)
+            text = token(prompt, generated)
             if options.wrong_attempt:
-                text = token("another caller's prompt", done)
+                text = token("another caller's prompt", generated)
             choice: dict[str, Any] = {"index": 0, "finish_reason": None}
             if chat:
                 choice["delta"] = {"content": text}
-                if done == 1:
+                if generated == 1:
                     choice["delta"]["role"] = "assistant"
             else:
                 choice["text"] = text
-            await self._event(body, done, done, [choice], {})
+            await self._send_event(body, generated, generated, [choice], {})
             sent += 1
         choice = {"index": 0, "finish_reason": "length"}
         choice.update({"delta": {}} if chat else {"text": ""})
         usage = {
             "prompt_tokens": len(prompt) // 4,
-            "completion_tokens": done,
-            "total_tokens": len(prompt) // 4 + done,
+            "completion_tokens": generated,
+            "total_tokens": len(prompt) // 4 + generated,
         }
-        await self._event(body, done + 1, done, [choice], {"usage": usage})
+        await self._send_event(
+            body, generated + 1, generated, [choice], {"usage": usage}
+        )
         self.write("data: [DONE]\n\n")
         await self.finish()
 
-    async def _event(
+    async def _send_event(
         self,
         body: dict[str, Any],
         first: int,
         last: int,
         choices: list[dict[str, Any]],
-        more: dict[str, Any],
+        extra_fields: dict[str, Any],
     ) -> None:
         headers = self.request.headers
         attempt = headers["Endivestream-Attempt"]
@@ -329,7 +355,7 @@
             "created": 0,
             "model": body["model"],
             "choices": choices,
-            **more,
+            **extra_fields,
         }
         self.write(
             f"id: {attempt}/{first}/{last}\ndata: {json.dumps(data)}\n\n"
@@ -371,7 +397,7 @@
 
 
 def main() -> None:
-    """Runs one engine as a process."""
+    """Runs an engine as a process."""
     parser = argparse.ArgumentParser(prog="standins.engine")
     parser.add_argument("--name", required=True)
     parser.add_argument("--domain", default="local")
--- a/benchmarks/standins/service.py
+++ b/benchmarks/standins/service.py
@@ -1,4 +1,4 @@
-"""A stand-in plain service that counts what it ran."""
+"""Stand-in plain service that records the calls that it ran."""
 
 from __future__ import annotations
 
@@ -13,14 +13,15 @@
 
 
 class Service(target_lib.Target):
-    """One service process or task.
+    """Simulated plain service that runs as a process or as a task.
 
     Attributes:
-        ran: Every call that it ran: method, uri, headers, body.
-        delay_seconds: Time before an answer.
-        cut_answers: Answers to cut off after running, counted down.
-        print_runs: Whether to print each call that ran, for a record that
-            outlives this process's memory.
+        ran: Method, uri, headers and body of every call that ran.
+        delay_seconds: Time from a call to its response.
+        cut_answers: Number of responses to cut off after the call ran;
+            decremented at each.
+        print_runs: Whether to print each call that ran, so that the record
+            survives the process.
     """
 
     def __init__(
@@ -47,7 +48,7 @@
         self.print_runs = False
 
     def serve(self, port: int = 0) -> int:
-        """Starts; returns the port."""
+        """Starts to serve, announce and report; returns the port."""
         routes = [(r"/.*", _Handler, {"service": self})]
         port = self.listen(
             web.Application(routes, log_function=lambda handler: None), port
@@ -69,7 +70,7 @@
                 "body": self.request.body,
             }
         )
-        number = len(self.service.ran)
+        run_number = len(self.service.ran)
         if self.service.print_runs:
             print(f"ran {self.request.uri}", flush=True)
         await asyncio.sleep(self.service.delay_seconds)
@@ -78,7 +79,7 @@
             self.request.connection.stream.close()
             return
         self.set_header("Content-Type", "application/json")
-        self.write(json.dumps({"run": number, "path": self.request.path}))
+        self.write(json.dumps({"run": run_number, "path": self.request.path}))
 
     get = post = put = delete = patch = _run
 
@@ -97,7 +98,7 @@
 
 
 def main() -> None:
-    """Runs one service as a process."""
+    """Runs a service as a process."""
     parser = argparse.ArgumentParser(prog="standins.service")
     parser.add_argument("--name", required=True)
     parser.add_argument("--service", action="append", required=True)
--- a/benchmarks/standins/target.py
+++ b/benchmarks/standins/target.py
@@ -1,4 +1,4 @@
-"""What every stand-in target does: announce itself and report."""
+"""Announcement and reports, common to all stand-in targets."""
 
 from __future__ import annotations
 
@@ -12,11 +12,17 @@
 from tornado import netutil
 from tornado import web
 
-_GATEWAYS_KEPT = 16
+_MAX_GATEWAYS = 16
 
 
 class Target:
-    """Announces to any of its gateways, then reports on a timer."""
+    """Announces itself to one of its gateways, then reports periodically.
+
+    Attributes:
+        info: Fields of the announcement.
+        draining: Whether reports declare the target as draining.
+        silent: Whether reports are suppressed.
+    """
 
     def __init__(
         self, *, info: dict[str, Any], gateways: list[str], token: str = ""
@@ -32,11 +38,11 @@
         self._client = httpclient.AsyncHTTPClient(force_instance=True)
 
     def report(self) -> dict[str, Any]:
-        """Returns what changes; subclasses add to it."""
+        """Returns further fields of a report; subclasses override this."""
         return {}
 
     def listen(self, application: web.Application, port: int) -> int:
-        """Serves on loopback; returns the port."""
+        """Starts an HTTP server on loopback; returns the port."""
         sockets = netutil.bind_sockets(port, "127.0.0.1")
         self._server = httpserver.HTTPServer(application)
         self._server.add_sockets(sockets)
@@ -45,12 +51,12 @@
         return port
 
     def start(self) -> None:
-        """Starts to announce and report."""
+        """Starts the task that announces and reports."""
         self.info.setdefault("incarnation", time.time_ns() // 1_000_000)
         self._task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
-        """Stops reporting and serving at once."""
+        """Stops reports and the server; closes all connections."""
         if self._task is not None:
             self._task.cancel()
         if self._server is not None:
@@ -74,15 +80,15 @@
                     },
                 )
                 if answer:
-                    self._prefer(answer["gateways"])
+                    self._prefer_gateways(answer["gateways"])
                 if answer and answer["announce_again"]:
                     await self._announce()
             await asyncio.sleep(seconds)
 
-    def _prefer(self, gateways: list[str]) -> None:
-        """Puts gateways first; those known before stay as a last resort."""
+    def _prefer_gateways(self, gateways: list[str]) -> None:
+        """Moves `gateways` to the front; others remain as a fallback."""
         others = [g for g in self._gateways if g not in gateways]
-        self._gateways = (gateways + others)[:_GATEWAYS_KEPT]
+        self._gateways = (gateways + others)[:_MAX_GATEWAYS]
 
     async def _announce(self) -> float:
         while True:
@@ -92,7 +98,7 @@
             await asyncio.sleep(0.2)
 
     async def _post(self, path: str, body: Any) -> dict[str, Any] | None:
-        """Sends to the first gateway that answers, each tried once."""
+        """Posts to the gateways in order, once each, until one accepts."""
         headers = {"Content-Type": "application/json"}
         if self._token:
             headers["Authorization"] = f"Bearer {self._token}"
