--- a/benchmarks/daylog/__init__.py
+++ b/benchmarks/daylog/__init__.py
@@ -1,1 +1,1 @@
-"""Reads a run's logs into tables of what was lost, when and why."""
+"""Summarizes the logs of a run: unserved requests by time and reason."""
--- a/benchmarks/daylog/__main__.py
+++ b/benchmarks/daylog/__main__.py
@@ -2,11 +2,11 @@
 
     python -m daylog LOG [--report REPORT] [--seconds 2] [--csv FOLDER]
 
-LOG holds the lines of all hosts, each with the time in seconds and the host's
-name before it. REPORT is what callers saw, as JSON. Every round of changes is
-read through the same tables: ends by reason and second, by kind, team and
-model; where the time of a late request goes; how long control was away; and
-how long a missing model took to come.
+LOG contains the log lines of all hosts, each preceded by the time in seconds
+and the host's name. REPORT is a JSON file with the results that callers
+measured. The tables show the outcomes of requests by reason and arrival time,
+and by kind, team and model; the latency of served requests by stage; changes
+of the leader; and the duration of each model placement.
 """
 
 from __future__ import annotations
@@ -33,15 +33,15 @@
     options = parser.parse_args()
     text = options.log.read_text(encoding="utf-8", errors="replace")
     lines = lines_lib.parse(text.splitlines())
-    made = tables_lib.from_lines(lines, width=options.seconds)
+    all_tables = tables_lib.from_lines(lines, width=options.seconds)
     if options.report is not None:
         report = json.loads(options.report.read_text(encoding="utf-8"))
-        made = [*tables_lib.from_report(report), *made]
-    for table in made:
+        all_tables = [*tables_lib.from_report(report), *all_tables]
+    for table in all_tables:
         print(table.render())
         print()
     if options.csv is not None:
-        _write(options.csv, made)
+        _write(options.csv, all_tables)
     return 0
 
 
--- a/benchmarks/daylog/lines.py
+++ b/benchmarks/daylog/lines.py
@@ -1,4 +1,4 @@
-"""One log line as a record."""
+"""Parses log lines into records."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 import re
 from typing import NamedTuple
 
-_HEAD = re.compile(r"^\s*(-?\d+\.\d+)\s+(\S+)\s+(.*)$")
+_PREFIX = re.compile(r"^\s*(-?\d+\.\d+)\s+(\S+)\s+(.*)$")
 _PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
 
 
 class Line(NamedTuple):
-    """One log line.
+    """Record of one log line.
 
     Attributes:
-        at: Seconds since callers began; negative before.
-        host: The host that wrote it.
-        event: What happened.
-        fields: All other pairs, as written.
+        at: Seconds since callers started; negative before that.
+        host: Name of the host that wrote the line.
+        event: Name of the event.
+        fields: All other key-value pairs, as text.
     """
 
     at: float
@@ -26,7 +26,7 @@
     fields: dict[str, str]
 
     def number(self, name: str) -> float:
-        """Returns a field as a number; 0 if it is not there or none."""
+        """Returns a field as a number; 0 if it is absent or not a number."""
         try:
             return float(self.fields.get(name, "0"))
         except ValueError:
@@ -34,14 +34,16 @@
 
 
 def parse(lines: Iterable[str]) -> list[Line]:
-    """Returns the records of all lines that are log lines, in time order."""
+    """Returns the records of all log lines by time; skips other lines."""
     records = []
     for line in lines:
-        head = _HEAD.match(line)
-        if head is None or "event=" not in line:
+        prefix = _PREFIX.match(line)
+        if prefix is None or "event=" not in line:
             continue
-        pairs = {k: v.strip('"') for k, v in _PAIR.findall(head.group(3))}
+        pairs = {k: v.strip('"') for k, v in _PAIR.findall(prefix.group(3))}
         event = pairs.pop("event", "")
-        records.append(Line(float(head.group(1)), head.group(2), event, pairs))
+        records.append(
+            Line(float(prefix.group(1)), prefix.group(2), event, pairs)
+        )
     records.sort(key=lambda record: record.at)
     return records
--- a/benchmarks/daylog/tables.py
+++ b/benchmarks/daylog/tables.py
@@ -1,4 +1,4 @@
-"""The tables themselves. Pure: lines in, rows out."""
+"""Computes the tables of a run from log records, without input or output."""
 
 from __future__ import annotations
 
@@ -13,17 +13,18 @@
 from daylog import lines as lines_lib
 
 _SERVED = "served"
-# Columns of reasons in the table over time; the rest is summed up.
+# Maximum of reasons with a column of their own in the table by arrival time.
+# Less frequent reasons are counted in the column `other`.
 _REASON_COLUMNS = 9
 
 
 class Table(NamedTuple):
-    """One table.
+    """A named table.
 
     Attributes:
-        name: What it shows, in a few words joined by dashes.
+        name: Name in words joined by dashes, also the name of the CSV file.
         columns: Names of the columns.
-        rows: Their cells.
+        rows: Cells of each row, in the order of the columns.
     """
 
     name: str
@@ -32,7 +33,7 @@
 
     def render(self) -> str:
         """Returns the table as text."""
-        cells = [[_cell(each) for each in row] for row in self.rows]
+        cells = [[_format_cell(cell) for cell in row] for row in self.rows]
         widths = [
             max([len(column), *(len(row[i]) for row in cells)])
             for i, column in enumerate(self.columns)
@@ -48,27 +49,27 @@
 
 
 def from_lines(lines: Sequence[lines_lib.Line], *, width: float) -> list[Table]:
-    """Returns the tables of hosts' logs.
+    """Returns the tables computed from the logs of the hosts.
 
     Args:
-        lines: All lines, in time order.
-        width: Seconds in a row of the tables over time.
+        lines: Log records of all hosts, in time order.
+        width: Seconds per row of the table by arrival time.
     """
     requests = [line for line in lines if line.event == "request"]
     return [
         _by_reason(requests),
-        _over_time(requests, width),
-        _by_pair(requests, "team"),
-        _by_pair(requests, "model"),
-        _by_pair(requests, "route"),
-        _stretches(requests),
-        _control(lines),
-        _arrivals(lines),
+        _by_arrival_time(requests, width),
+        _lost_by(requests, "team"),
+        _lost_by(requests, "model"),
+        _lost_by(requests, "route"),
+        _latency_stages(requests),
+        _control_changes(lines),
+        _placements(lines),
     ]
 
 
 def from_report(report: dict[str, object]) -> list[Table]:
-    """Returns the tables of what callers saw."""
+    """Returns the tables of the results that callers measured."""
     classes = report["classes"]
     windows = report["windows"]
     prices = report["prices"]
@@ -101,12 +102,12 @@
     ]
 
 
-def _cell(value: object) -> str:
+def _format_cell(value: object) -> str:
     return f"{value:.3f}" if isinstance(value, float) else str(value)
 
 
 def _by_reason(requests: Sequence[lines_lib.Line]) -> Table:
-    groups = _grouped(
+    groups = _group_records(
         requests, lambda r: (r.fields.get("reason", ""), r.fields["status"])
     )
     rows = [
@@ -123,13 +124,13 @@
     return Table("ends-by-reason", columns, rows)
 
 
-def _over_time(requests: Sequence[lines_lib.Line], width: float) -> Table:
+def _by_arrival_time(requests: Sequence[lines_lib.Line], width: float) -> Table:
     counts = collections.Counter(r.fields.get("reason", "") for r in requests)
     reasons = [name for name, _ in counts.most_common(_REASON_COLUMNS)]
     rows: dict[float, collections.Counter[str]] = {}
     for request in requests:
-        came = request.at - request.number("total_ms") / 1e3
-        second = math.floor(came / width) * width
+        arrived_at = request.at - request.number("total_ms") / 1e3
+        second = math.floor(arrived_at / width) * width
         row = rows.setdefault(second, collections.Counter())
         reason = request.fields.get("reason", "")
         row[reason if reason in reasons else "other"] += 1
@@ -141,26 +142,27 @@
     )
 
 
-def _by_pair(requests: Sequence[lines_lib.Line], field: str) -> Table:
-    lost = [r for r in requests if r.fields.get("reason") != _SERVED]
-    groups = _grouped(
-        lost, lambda r: (r.fields.get(field, ""), r.fields.get("reason", ""))
+def _lost_by(requests: Sequence[lines_lib.Line], field: str) -> Table:
+    not_served = [r for r in requests if r.fields.get("reason") != _SERVED]
+    groups = _group_records(
+        not_served,
+        lambda r: (r.fields.get(field, ""), r.fields.get("reason", "")),
     )
     rows = [(*key, len(group)) for key, group in groups[:20]]
     return Table(f"lost-by-{field}", (field, "reason", "n"), rows)
 
 
-def _stretches(requests: Sequence[lines_lib.Line]) -> Table:
-    """Where the time of served requests goes, for slow starts and others."""
+def _latency_stages(requests: Sequence[lines_lib.Line]) -> Table:
+    """Returns the latency stages of served requests by time to first byte."""
     rows = []
     served = [r for r in requests if r.fields.get("reason") == _SERVED]
-    for name, low, high in (
+    for name, min_ms, max_ms in (
         ("up to 0.1 s", 0.0, 100.0),
         ("0.1 to 0.4 s", 100.0, 400.0),
         ("0.4 to 1.5 s", 400.0, 1500.0),
         ("above", 1500.0, math.inf),
     ):
-        group = [r for r in served if low <= r.number("first_ms") < high]
+        group = [r for r in served if min_ms <= r.number("first_ms") < max_ms]
         waits = [r.number("waited_ms") for r in group]
         turns = [r.number("turn_ms") for r in group]
         engine = [r.number("first_ms") - r.number("waited_ms") for r in group]
@@ -179,8 +181,8 @@
     return Table("stretches-of-served", columns, rows)
 
 
-def _control(lines: Sequence[lines_lib.Line]) -> Table:
-    """Losses and gains of control, in order."""
+def _control_changes(lines: Sequence[lines_lib.Line]) -> Table:
+    """Returns starts and changes of leader, planner and role by time."""
     names = {
         "leader_found",
         "leader_lost",
@@ -197,8 +199,8 @@
     return Table("control", ("second", "event", "host", "role"), rows)
 
 
-def _arrivals(lines: Sequence[lines_lib.Line]) -> Table:
-    """What placement did, and how long each step took."""
+def _placements(lines: Sequence[lines_lib.Line]) -> Table:
+    """Returns all model placements with their durations."""
     rows = []
     for line in lines:
         if line.event not in ("placed", "placement_failed"):
@@ -216,11 +218,11 @@
     return Table("placements", columns, rows)
 
 
-def _grouped(
+def _group_records(
     records: Sequence[lines_lib.Line],
     key: Callable[[lines_lib.Line], tuple[str, str]],
 ) -> list[tuple[tuple[str, str], list[lines_lib.Line]]]:
-    """Returns groups of records, the largest first."""
+    """Returns the records grouped by key, the largest group first."""
     groups: dict[tuple[str, str], list[lines_lib.Line]] = {}
     for record in records:
         groups.setdefault(key(record), []).append(record)
@@ -228,5 +230,5 @@
 
 
 def _median(values: Iterable[float]) -> float:
-    found = list(values)
-    return statistics.median(found) if found else 0.0
+    samples = list(values)
+    return statistics.median(samples) if samples else 0.0
--- a/tests/test_daylog.py
+++ b/tests/test_daylog.py
@@ -1,4 +1,4 @@
-"""Tables of a run, from lines as hosts write them."""
+"""Tables of a run, computed from log lines in the hosts' format."""
 
 import unittest
 
@@ -20,33 +20,33 @@
 class DaylogTest(unittest.TestCase):
     def setUp(self):
         self.lines = lines_lib.parse(LINES)
-        made = tables_lib.from_lines(self.lines, width=2.0)
-        self.tables = {table.name: table for table in made}
+        from_logs = tables_lib.from_lines(self.lines, width=2.0)
+        self.tables = {table.name: table for table in from_logs}
 
-    def test_lines_come_in_time_order_with_quotes_removed(self):
+    def test_lines_are_sorted_by_time_and_unquoted(self):
         self.assertEqual(
             ["request", "placed", "request"], [x.event for x in self.lines]
         )
         self.assertEqual("a b", self.lines[1].fields["why"])
 
-    def test_a_request_counts_where_it_came_not_where_it_ended(self):
+    def test_request_is_counted_at_its_arrival_not_at_its_end(self):
         rows = {row[0]: row[1:] for row in self.tables["ends-by-arrival"].rows}
         columns = self.tables["ends-by-arrival"].columns[1:]
         self.assertEqual({"0", "2"}, set(rows))
         self.assertEqual(1, rows["2"][columns.index("no_model")])
 
-    def test_a_stream_with_a_long_pause_is_counted(self):
-        stretches = self.tables["stretches-of-served"]
-        first = dict(zip(stretches.columns, stretches.rows[0], strict=True))
-        self.assertEqual(1, first["n"])
-        self.assertEqual(1, first["gaps"])
-        self.assertEqual(50.0, first["target_ms"])
+    def test_stream_with_a_gap_above_300_ms_is_counted(self):
+        stages = self.tables["stretches-of-served"]
+        first_row = dict(zip(stages.columns, stages.rows[0], strict=True))
+        self.assertEqual(1, first_row["n"])
+        self.assertEqual(1, first_row["gaps"])
+        self.assertEqual(50.0, first_row["target_ms"])
 
-    def test_what_was_lost_is_told_by_model(self):
+    def test_unserved_requests_are_counted_by_model_and_reason(self):
         rows = self.tables["lost-by-model"].rows
         self.assertEqual([("m2", "no_model", 1)], list(rows))
 
-    def test_a_table_renders_every_row(self):
+    def test_render_prints_every_row(self):
         text = self.tables["placements"].render()
         self.assertIn("5.8", text)
         self.assertEqual(3, len(text.splitlines()))
