--- a/benchmarks/crashes.py
+++ b/benchmarks/crashes.py
@@ -1,9 +1,9 @@
-"""Kills hosts at random moments under orders and changes; counts the damage.
+"""Kills hosts at random times under load; counts duplicate and lost work.
 
-Three control hosts, two gateways, one service. In each cycle orders and a
-configuration change are under way when a host is killed with SIGKILL; callers
-resend through other hosts until the answer is final. At the end the service's
-own record tells whether an order ran twice, and the keys that are there tell
+Three control hosts, two gateways, one service. In each cycle a host is killed
+with SIGKILL while orders and a configuration change are in flight; callers
+resend through other hosts until the response is final. At the end, the log of
+the service shows whether an order ran twice, and the list of keys shows
 whether an accepted change was lost.
 """
 
@@ -37,16 +37,25 @@
 watch_seconds = 0.2
 host_silence_seconds = 0.8
 """
-_KEY = "a-key-of-the-band"
-_ORDERS_A_CYCLE = 6
-_SENDS = 40
+_API_KEY = "a-key-of-the-band"
+_ORDERS_PER_CYCLE = 6
+_MAX_SENDS = 40
 
 
-class Damage:
-    """What callers and operators saw, from their own records."""
+class Outcomes:
+    """Outcomes of orders and changes, as recorded by the clients.
+
+    Attributes:
+        responses: Number of responses by outcome.
+        done: Orders with a successful response.
+        not_run: Never filled.
+        unknown: Orders without a final response.
+        accepted: Labels of keys whose creation was accepted.
+        lock: Protects the other attributes.
+    """
 
     def __init__(self) -> None:
-        self.answers: collections.Counter[str] = collections.Counter()
+        self.responses: collections.Counter[str] = collections.Counter()
         self.done: set[str] = set()
         self.not_run: set[str] = set()
         self.unknown: set[str] = set()
@@ -55,12 +64,12 @@
 
 
 class Site:
-    """The processes, and the two kinds of clients."""
+    """The processes, and clients that send orders and changes."""
 
     def __init__(self, *, folder: pathlib.Path, seed: int) -> None:
         self._folder = folder
         self._rng = random.Random(seed)
-        self.damage = Damage()
+        self.outcomes = Outcomes()
         self.control = processes.ControlSite(
             folder=folder,
             count=3,
@@ -81,7 +90,7 @@
                 "--delay-seconds=0.02",
             ],
         )
-        digest = hashlib.sha256(_KEY.encode()).hexdigest()
+        digest = hashlib.sha256(_API_KEY.encode()).hexdigest()
         rules = folder / "rules.txt"
         rules.write_text(_RULES + f"key k team=band sha256={digest} # x\n")
         done = self.control.operate("rules", "apply", str(rules), "--wait=10")
@@ -105,7 +114,7 @@
         return {**self.control.hosts, **self.gateways}
 
     def crash(self) -> str:
-        """Kills a host at random and starts it again."""
+        """Kills a random host, restarts it and returns its name."""
         name = self._rng.choice(sorted(self.hosts()))
         time.sleep(self._rng.uniform(0.0, 0.1))
         self.hosts()[name].kill()
@@ -118,29 +127,32 @@
         return name
 
     def order(self, seed: int) -> None:
-        """Sends one order until its answer is final."""
+        """Sends one order repeatedly until its response is final."""
         rng = random.Random(seed)
         name = f"{int(time.time())}-{uuid.UUID(int=rng.getrandbits(128))}"
         unknown = 0
-        for _ in range(_SENDS):
+        for _ in range(_MAX_SENDS):
             status, error = self._send_order(name, rng)
             if status == 200:
-                self._note("done", self.damage.done, name)
+                self._record("done", self.outcomes.done, name)
                 return
             outcome = error.get("outcome", "no_answer")
-            with self.damage.lock:
-                self.damage.answers[f"{outcome} {error.get('type', '')}"] += 1
-            # Fate unknown may still become known: the holder may end it.
+            with self.outcomes.lock:
+                self.outcomes.responses[
+                    f"{outcome} {error.get('type', '')}"
+                ] += 1
+            # An unknown outcome is not final at once: the host that runs the
+            # call may still complete it. So the order is sent again.
             unknown += error.get("type") == "call_fate_unknown"
             if unknown > 2:
-                self._note("unknown", self.damage.unknown, name)
+                self._record("unknown", self.outcomes.unknown, name)
                 return
             time.sleep(0.1)
-        self._note("gave_up", self.damage.unknown, name)
+        self._record("gave_up", self.outcomes.unknown, name)
 
-    def _note(self, what: str, names: set[str], name: str) -> None:
-        with self.damage.lock:
-            self.damage.answers[what] += 1
+    def _record(self, what: str, names: set[str], name: str) -> None:
+        with self.outcomes.lock:
+            self.outcomes.responses[what] += 1
             names.add(name)
 
     def _send_order(
@@ -155,7 +167,7 @@
             f"{url}/v1/services/desk/orders/{name}",
             method="POST",
             headers={
-                "Authorization": f"Bearer {_KEY}",
+                "Authorization": f"Bearer {_API_KEY}",
                 "Idempotency-Key": name,
             },
             body={"order": name},
@@ -167,7 +179,7 @@
             return 0, {}
 
     def change(self, number: int) -> None:
-        """Makes one key; notes it once it is accepted."""
+        """Creates one key and records it once a host accepts it."""
         label = f"k{number}"
         for host in list(self.hosts().values()):
             try:
@@ -187,50 +199,50 @@
                 seconds=5.0,
             )
             if status == 200:
-                with self.damage.lock:
-                    self.damage.accepted.add(label)
+                with self.outcomes.lock:
+                    self.outcomes.accepted.add(label)
                 return
 
     def runs(self) -> collections.Counter[str]:
-        """Returns how often each order ran, by the service's own record."""
+        """Returns how often each order ran, from the log of the service."""
         lines = self.service.log.read_text().splitlines()
         return collections.Counter(
             line.split("/orders/")[1] for line in lines if "/orders/" in line
         )
 
     def close(self) -> None:
-        """Ends all processes."""
+        """Kills all processes."""
         self.control.close()
         for process in (*self.gateways.values(), self.service):
             process.kill()
 
 
-def _verdict(site: Site, cycles: int, seconds: float) -> dict[str, Any]:
-    damage = site.damage
+def _summary(site: Site, cycles: int, seconds: float) -> dict[str, Any]:
+    outcomes = site.outcomes
     site.control.wait_leader()
     keys = {row["label"] for row in site.control.view("key", "list")}
     runs = site.runs()
     return {
         "cycles": cycles,
         "seconds": round(seconds),
-        "orders": len(damage.done) + len(damage.unknown),
-        "orders_done": len(damage.done),
-        "orders_unknown": len(damage.unknown),
+        "orders": len(outcomes.done) + len(outcomes.unknown),
+        "orders_done": len(outcomes.done),
+        "orders_unknown": len(outcomes.unknown),
         "ran_twice": sum(count > 1 for count in runs.values()),
-        "done_but_not_run": len(damage.done - set(runs)),
-        "changes_accepted": len(damage.accepted),
-        "changes_lost": len(damage.accepted - keys),
-        "answers": dict(damage.answers),
+        "done_but_not_run": len(outcomes.done - set(runs)),
+        "changes_accepted": len(outcomes.accepted),
+        "changes_lost": len(outcomes.accepted - keys),
+        "answers": dict(outcomes.responses),
     }
 
 
 def main() -> int:
-    """Runs the cycles; returns 1 if anything was damaged."""
+    """Runs the cycles; returns 1 if an order or change was lost or repeated."""
     parser = argparse.ArgumentParser(prog="crashes")
     parser.add_argument("--cycles", type=int, default=20)
     parser.add_argument("--seed", type=int, default=1)
     arguments = parser.parse_args()
-    begun = time.monotonic()
+    started_at = time.monotonic()
     with (
         tempfile.TemporaryDirectory() as folder,
         concurrent.futures.ThreadPoolExecutor(64) as pool,
@@ -239,23 +251,24 @@
         try:
             clients = []
             for cycle in range(arguments.cycles):
-                for n in range(_ORDERS_A_CYCLE):
+                for n in range(_ORDERS_PER_CYCLE):
                     seed = (arguments.seed, cycle, n)
                     clients.append(pool.submit(site.order, hash(seed)))
                 clients.append(pool.submit(site.change, cycle))
                 site.crash()
-                # Some cycles strike while others still recover.
+                # Every other cycle does not wait, so that the next host is
+                # killed while clients still recover from the last one.
                 if cycle % 2:
                     concurrent.futures.wait(clients)
             for client in clients:
                 client.result()
-            seconds = time.monotonic() - begun
-            verdict = _verdict(site, arguments.cycles, seconds)
+            seconds = time.monotonic() - started_at
+            summary = _summary(site, arguments.cycles, seconds)
         finally:
             site.close()
-    print(json.dumps(verdict, indent=1))
-    bad = ("ran_twice", "done_but_not_run", "changes_lost")
-    return 1 if any(verdict[name] for name in bad) else 0
+    print(json.dumps(summary, indent=1))
+    damage_counts = ("ran_twice", "done_but_not_run", "changes_lost")
+    return 1 if any(summary[name] for name in damage_counts) else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/demo.py
+++ b/benchmarks/demo.py
@@ -1,7 +1,8 @@
-"""The main job from one end to the other, with real processes.
+"""End-to-end demo of streaming and idempotent calls with real processes.
 
-One `endivestreamd` without a settings file, one stand-in engine and one
-stand-in service. Prints what it sees; any surprise ends it with status 1.
+Runs one `endivestreamd` without a settings file, one stand-in engine and one
+stand-in service. Prints each result; exits with status 1 at the first one that
+is not as expected.
 """
 
 from __future__ import annotations
@@ -25,21 +26,26 @@
 """
 
 
-def _check(sound: bool, what: str) -> None:
-    if not sound:
-        raise RuntimeError(what)
-    print(f"ok: {what}")
+def _check(condition: bool, description: str) -> None:
+    if not condition:
+        raise RuntimeError(description)
+    print(f"ok: {description}")
 
 
 def _operate(address: str, *arguments: str) -> dict:
-    done = processes.operate("--output", "json", *arguments, address=address)
-    shown = " ".join(arguments)
-    _check(done.returncode == 0, f"endivestream {shown} {done.stderr}".strip())
-    return json.loads(done.stdout)
+    completed = processes.operate(
+        "--output", "json", *arguments, address=address
+    )
+    command = " ".join(arguments)
+    _check(
+        completed.returncode == 0,
+        f"endivestream {command} {completed.stderr}".strip(),
+    )
+    return json.loads(completed.stdout)
 
 
 def _stream(url: str, key: str, model: str) -> tuple[int, bool]:
-    """Prints a streamed answer; returns its tokens and whether it is whole."""
+    """Prints a streamed response; returns its tokens and if it is complete."""
     request = urllib.request.Request(
         f"{url}/v1/chat/completions",
         data=json.dumps(
@@ -54,24 +60,24 @@
         ).encode(),
         headers={"Authorization": f"Bearer {key}"},
     )
-    tokens, whole = 0, False
+    tokens, complete = 0, False
     with urllib.request.urlopen(request, timeout=30) as answer:
         for line in answer:
             if not line.startswith(b"data: "):
                 continue
             if line.strip() == b"data: [DONE]":
-                whole = True
+                complete = True
                 continue
             choice = json.loads(line[6:])["choices"][0]
-            piece = choice["delta"].get("content")
-            if piece:
+            text = choice["delta"].get("content")
+            if text:
                 tokens += 1
-                print(piece, end="", flush=True)
+                print(text, end="", flush=True)
     print()
-    return tokens, whole
+    return tokens, complete
 
 
-def _order(url: str, key: str, name: str) -> tuple[int, bytes, bool]:
+def _send_order(url: str, key: str, name: str) -> tuple[int, bytes, bool]:
     status, headers, body = processes.fetch(
         f"{url}/v1/services/parts-desk/orders",
         method="POST",
@@ -86,7 +92,7 @@
 
 
 def _run(folder: pathlib.Path, started: list[processes.Process]) -> str:
-    begun = time.monotonic()
+    started_at = time.monotonic()
     daemon = processes.Bare(folder=folder)
     started.append(daemon)
     url, inner = daemon.url, daemon.address
@@ -110,26 +116,28 @@
     rules = folder / "rules.txt"
     rules.write_text(_RULES)
     _operate(inner, "rules", "apply", str(rules), "--wait", "10")
-    made = _operate(
+    created = _operate(
         inner, "key", "create", "--label=bench-1", "--team=workshops"
     )
-    key = made["key"]
+    key = created["key"]
     processes.wait_for(
         lambda: _operate(inner, "models").get("brass-diagnosis"),
         "the planner has loaded the model",
     )
-    tokens, whole = _stream(url, key, "brass-trumpets")
-    _check(tokens == 24 and whole, f"{tokens} tokens streamed, whole={whole}")
+    tokens, complete = _stream(url, key, "brass-trumpets")
+    _check(
+        tokens == 24 and complete, f"{tokens} tokens streamed, whole={complete}"
+    )
 
     name = str(uuid.uuid4())
-    first = _order(url, key, name)
-    second = _order(url, key, name)
+    first = _send_order(url, key, name)
+    second = _send_order(url, key, name)
     _check(first[0] == 200 and not first[2], f"order ran: {first[1].decode()}")
     _check(
         second[0] == 200 and second[2] and second[1] == first[1],
         "the resent order got the stored answer and did not run again",
     )
-    third = _order(url, key, str(uuid.uuid4()))
+    third = _send_order(url, key, str(uuid.uuid4()))
     _check(
         json.loads(third[1])["run"] == 2, "another order is the service's 2nd"
     )
@@ -147,7 +155,7 @@
         f"the withdrawn key is refused: {error['message']}",
     )
     _check(daemon.stop() == 0, "graceful shutdown, exit status 0")
-    seconds = time.monotonic() - begun
+    seconds = time.monotonic() - started_at
     return (
         f"saw {tokens} tokens, 2 orders run, 1 replayed, 1 key refused, "
         f"{seconds:.1f} s"
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -1,8 +1,9 @@
-"""Limits, fairness and first tokens with real processes, from callers' records.
+"""Measures rate limits, fairness and latency as callers of real processes.
 
-Three control hosts, two gateways, six engines, five teams. Four teams ask for
-half of their rate; the conservatory asks for ten times its own. Phases: the
-four alone, all five, and all five while the leader is killed again and again.
+Three control hosts, two gateways, six engines, five teams. Four teams send at
+half of their rate limit, the conservatory at ten times its limit. Phases: the
+four teams alone, all five teams, and all five while the leader is killed
+periodically.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 _SLOTS = 24
 _STEP_S = 0.030
 _FIRST_TOKEN_S = 1.1
-_BETWEEN_S = 0.034
+_TOKEN_GAP_S = 0.034
 _SETTINGS = """
 [timing]
 lease_seconds = 1.5
@@ -36,14 +37,14 @@
 
 
 class Team(NamedTuple):
-    """A team and what it asks for.
+    """A team, its limits in the rules, and the load that it offers.
 
     Attributes:
-        name: Its name.
-        rate: Tokens a second by the rules.
-        burst: Tokens by the rules.
-        share: What it asks for, as a share of its rate.
-        tokens: Generated tokens a request.
+        name: Name of the team.
+        rate: Rate limit in tokens a second.
+        burst: Burst limit in tokens.
+        share: Offered load as a multiple of `rate`.
+        tokens: Generated tokens per request.
     """
 
     name: str
@@ -61,25 +62,27 @@
     Team("conservatory", 500, 3000, 10.0, 120),
 )
 _PROMPT = "x" * 38
-_PROMPT_TOKENS = 12  # As the gateway counts: role and text, 4 bytes a token.
+_PROMPT_TOKENS = 12  # As the gateway counts: role and text, 4 bytes per token.
 
 
-class Seen(NamedTuple):
-    """One request as its caller saw it."""
+class CallerResult(NamedTuple):
+    """Result of one request, as measured by its caller."""
 
     team: str
-    sent: float
+    sent_at: float
     status: int
     reason: str
     tokens: int
-    first: float
+    first_token: float
     slow_gaps: int
-    whole: bool
+    complete: bool
 
 
-async def ask(url: str, key: str, team: Team, started: float) -> Seen:
-    """Sends one request and reads its stream."""
-    sent = time.monotonic()
+async def send_request(
+    url: str, key: str, team: Team, started: float
+) -> CallerResult:
+    """Sends one request, reads its stream and returns the result."""
+    sent_at = time.monotonic()
     host, port = url.removeprefix("http://").split(":")
     body = json.dumps(
         {
@@ -89,7 +92,7 @@
             "stream": True,
         }
     ).encode()
-    status, reason, tokens, first, slow, whole = (
+    status, reason, tokens, first_token, slow, complete = (
         0,
         "no_answer",
         0,
@@ -114,21 +117,28 @@
                 reason = json.loads(text)["error"]["type"]
             elif line.startswith(b'data: {"id"') and b'"usage"' not in line:
                 tokens += 1
-                first = first or now - sent
-                slow += bool(last) and now - last > _BETWEEN_S * 1.5
+                first_token = first_token or now - sent_at
+                slow += bool(last) and now - last > _TOKEN_GAP_S * 1.5
                 last = now
             elif line.startswith(b"data: [DONE]"):
-                whole, reason = True, ""
+                complete, reason = True, ""
         writer.close()
     except (OSError, ValueError, IndexError):
         pass
-    return Seen(
-        team.name, sent - started, status, reason, tokens, first, slow, whole
+    return CallerResult(
+        team.name,
+        sent_at - started,
+        status,
+        reason,
+        tokens,
+        first_token,
+        slow,
+        complete,
     )
 
 
 class Site:
-    """The processes."""
+    """Control hosts, gateways and engines, with rules and keys of all teams."""
 
     def __init__(self, *, folder: pathlib.Path) -> None:
         self.control = processes.ControlSite(
@@ -158,14 +168,16 @@
             )
             lines.append(f"allow {team.name} brass # limits")
         rules.write_text("\n".join(lines) + "\n")
-        done = self.control.operate("rules", "apply", str(rules), "--wait=10")
-        assert done.returncode == 0, done.stderr
+        completed = self.control.operate(
+            "rules", "apply", str(rules), "--wait=10"
+        )
+        assert completed.returncode == 0, completed.stderr
         self.keys = {}
         for team in TEAMS:
-            made = self.control.operate(
+            created = self.control.operate(
                 "key", "create", f"--label={team.name}", f"--team={team.name}"
             )
-            self.keys[team.name] = json.loads(made.stdout)["key"]
+            self.keys[team.name] = json.loads(created.stdout)["key"]
         self.engines = [
             processes.stand_in(
                 "engine",
@@ -188,34 +200,36 @@
         )
 
     def close(self) -> None:
-        """Ends all processes."""
+        """Kills all processes."""
         self.control.close()
         for process in (*self.gateways, *self.engines):
             process.kill()
 
 
-async def phase(
+async def run_phase(
     site: Site,
     teams: tuple[Team, ...],
     *,
     seconds: float,
     kill_every: float,
     seed: int,
-) -> tuple[list[Seen], float]:
-    """Runs teams side by side; returns what callers saw, and the time."""
+) -> tuple[list[CallerResult], float]:
+    """Runs the teams concurrently; returns all results and the duration."""
     rng = random.Random(seed)
     started = time.monotonic()
-    tasks: list[asyncio.Task[Seen]] = []
+    tasks: list[asyncio.Task[CallerResult]] = []
 
-    async def caller(team: Team, rng: random.Random) -> None:
+    async def send_requests(team: Team, rng: random.Random) -> None:
         rate = team.rate * team.share / (team.tokens + _PROMPT_TOKENS)
         while time.monotonic() - started < seconds:
             await asyncio.sleep(rng.expovariate(rate))
             url = rng.choice(site.gateways).url
             key = site.keys[team.name]
-            tasks.append(asyncio.create_task(ask(url, key, team, started)))
+            tasks.append(
+                asyncio.create_task(send_request(url, key, team, started))
+            )
 
-    async def killer() -> None:
+    async def kill_leader_periodically() -> None:
         while kill_every and time.monotonic() - started < seconds - 5:
             await asyncio.sleep(kill_every)
             leader = await asyncio.to_thread(site.control.wait_leader)
@@ -223,39 +237,47 @@
             host = await asyncio.to_thread(site.control.restart, leader)
             await asyncio.to_thread(host.wait_ready)
 
-    callers = [caller(team, random.Random(rng.random())) for team in teams]
-    await asyncio.gather(*callers, killer())
-    seen = list(await asyncio.gather(*tasks))
-    return seen, time.monotonic() - started
+    callers = [
+        send_requests(team, random.Random(rng.random())) for team in teams
+    ]
+    await asyncio.gather(*callers, kill_leader_periodically())
+    results = list(await asyncio.gather(*tasks))
+    return results, time.monotonic() - started
 
 
-def report(seen: list[Seen], seconds: float) -> list[dict[str, Any]]:
-    """Returns a row for each team."""
+def team_rows(
+    results: list[CallerResult], seconds: float
+) -> list[dict[str, Any]]:
+    """Returns a row of figures for each team that sent requests."""
     rows = []
     for team in TEAMS:
-        own = [s for s in seen if s.team == team.name]
-        if not own:
+        team_results = [s for s in results if s.team == team.name]
+        if not team_results:
             continue
-        served = [s for s in own if s.whole]
-        spent = sum(s.tokens + _PROMPT_TOKENS for s in own if s.tokens)
-        reasons = collections.Counter(s.reason for s in own if not s.whole)
+        served = [s for s in team_results if s.complete]
+        tokens_used = sum(
+            s.tokens + _PROMPT_TOKENS for s in team_results if s.tokens
+        )
+        reasons = collections.Counter(
+            s.reason for s in team_results if not s.complete
+        )
         attained = sum(
-            s.first <= _FIRST_TOKEN_S and s.slow_gaps <= 0.05 * s.tokens
+            s.first_token <= _FIRST_TOKEN_S and s.slow_gaps <= 0.05 * s.tokens
             for s in served
         )
-        firsts = sorted(s.first for s in served) or [0.0]
+        delays = sorted(s.first_token for s in served) or [0.0]
         rows.append(
             {
                 "team": team.name,
-                "requests": len(own),
+                "requests": len(team_results),
                 "whole": len(served),
                 "refused": dict(reasons),
                 "of_bound": round(
-                    spent / (team.burst + team.rate * seconds), 3
+                    tokens_used / (team.burst + team.rate * seconds), 3
                 ),
-                "attained": round(attained / len(own), 4),
-                "first_p50_s": round(firsts[len(firsts) // 2], 3),
-                "first_p95_s": round(firsts[int(len(firsts) * 0.95)], 3),
+                "attained": round(attained / len(team_results), 4),
+                "first_p50_s": round(delays[len(delays) // 2], 3),
+                "first_p95_s": round(delays[int(len(delays) * 0.95)], 3),
                 "wrong_tokens": sum(s.tokens != team.tokens for s in served),
             }
         )
@@ -265,30 +287,30 @@
 async def _main(arguments: argparse.Namespace) -> int:
     with tempfile.TemporaryDirectory() as folder:
         site = Site(folder=pathlib.Path(folder))
-        above = False
+        above_bound = False
         try:
             for name, teams, kill in (
                 ("alone", TEAMS[:-1], 0.0),
                 ("beside", TEAMS, 0.0),
                 ("killed", TEAMS, arguments.kill_every),
             ):
-                seen, seconds = await phase(
+                results, seconds = await run_phase(
                     site,
                     teams,
                     seconds=arguments.seconds,
                     kill_every=kill,
                     seed=arguments.seed,
                 )
-                for row in report(seen, seconds):
+                for row in team_rows(results, seconds):
                     print(json.dumps({"phase": name, **row}), flush=True)
-                    above = above or row["of_bound"] > 1.0
+                    above_bound = above_bound or row["of_bound"] > 1.0
         finally:
             site.close()
-    return int(above)
+    return int(above_bound)
 
 
 def main() -> int:
-    """Runs the three phases; returns 1 if a team got more than its bound."""
+    """Runs the three phases; returns 1 if a team exceeded its token bound."""
     parser = argparse.ArgumentParser(prog="limits")
     parser.add_argument("--seconds", type=float, default=40.0)
     parser.add_argument("--kill-every", type=float, default=10.0)
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -1,9 +1,10 @@
-"""Routing policies against each other, in virtual time, one seed.
+"""Compares routing policies in a discrete-event simulation with one seed.
 
-The scheduler is the product's; the policies replace its choice of a target.
-Engines are a few lines: slots, a rate of reading prompts, a step of decoding,
-a cache of blocks by least recent use. Sizes of the Co-operative: 9 engines,
-5 teams, 40 models; sessions ask several times with growing prompts.
+The scheduler is endivestream's; the policies replace its choice of a target.
+A simulated engine has slots, a prefill rate, a decoding step and a prefix
+cache with least-recently-used eviction. Sizes are those of the Co-operative:
+9 engines, 5 teams, 40 models; a session sends several requests with growing
+prompts.
 """
 
 from __future__ import annotations
@@ -43,14 +44,14 @@
 
 
 class LeastLoaded(scheduler_lib.Scheduler):
-    """By load alone."""
+    """Chooses the target with the least load; ignores prefix caches."""
 
     def _unread(self, target: Any, ask: Any) -> float:
         return 0.0
 
 
-class Random(scheduler_lib.Scheduler):
-    """Any target with a place."""
+class RandomChoice(scheduler_lib.Scheduler):
+    """Chooses a random target with a free slot."""
 
     rng = random.Random(5)
     choices = 1
@@ -63,27 +64,30 @@
         ]
         if not fitting:
             return None
-        drawn = [self.rng.choice(fitting) for _ in range(self.choices)]
-        return min(drawn, key=self._load)
+        candidates = [self.rng.choice(fitting) for _ in range(self.choices)]
+        return min(candidates, key=self._load)
 
 
-class TwoChoices(Random):
-    """The less loaded of two."""
+class TwoChoices(RandomChoice):
+    """Chooses the less loaded of two random targets with a free slot."""
 
     choices = 2
 
 
 class _Engine:
-    """What an engine does with a request, in virtual time."""
+    """Simulated prefill and prefix cache of an engine."""
 
     def __init__(self) -> None:
         self.cache: collections.OrderedDict[int, None] = (
             collections.OrderedDict()
         )
-        self.reading_until = 0.0
+        self.prefill_until = 0.0
 
     def first_token(self, now: float, blocks: tuple[int, ...]) -> float:
-        """Reads a prompt after those before it; returns when it is read."""
+        """Prefills a prompt after earlier ones; returns the first token's time.
+
+        Adds the blocks of the prompt to the cache.
+        """
         covered = 0
         for block in blocks:
             if block not in self.cache:
@@ -94,14 +98,17 @@
             self.cache.move_to_end(block)
         while len(self.cache) > _CACHE_BLOCKS:
             self.cache.popitem(last=False)
-        unread = (len(blocks) - covered) * _BLOCK_TOKENS
-        start = max(now, self.reading_until)
-        self.reading_until = start + unread / _PREFILL_TOKENS_S
-        return self.reading_until + _STEP_S
+        unread_tokens = (len(blocks) - covered) * _BLOCK_TOKENS
+        start = max(now, self.prefill_until)
+        self.prefill_until = start + unread_tokens / _PREFILL_TOKENS_S
+        return self.prefill_until + _STEP_S
 
 
 def workload(seed: int, seconds: float, rate: float) -> list[Request]:
-    """Returns sessions of 1 to 6 requests; one team at ten times its rate."""
+    """Returns the requests of random sessions, sorted by arrival time.
+
+    A session has 1 to 6 requests. One team sends at ten times its rate.
+    """
     rng = random.Random(seed)
     teams = ["apprentices", "members", "masters", "press", "conservatory"]
     weights = [1, 2, 1, 1, 10]
@@ -128,14 +135,16 @@
                     tokens,
                 )
             )
-            grown = [session * 10_000 + 100 * (turn + 1) + n for n in range(2)]
-            blocks = blocks + grown
+            new_blocks = [
+                session * 10_000 + 100 * (turn + 1) + n for n in range(2)
+            ]
+            blocks = blocks + new_blocks
             at += tokens * _STEP_S + rng.expovariate(0.3)
     return sorted(requests)
 
 
 class _Run:
-    """One policy over one workload."""
+    """Simulates one policy with one workload."""
 
     def __init__(
         self, scheduler: scheduler_lib.Scheduler, requests: list[Request]
@@ -144,7 +153,7 @@
         self.requests = {request.name: request for request in requests}
         self.engines = {f"e{n}": _Engine() for n in range(_ENGINES)}
         self.first: dict[str, float] = {}
-        self.read = self.hit = 0
+        self.total_blocks = self.cached_blocks = 0
         self.events: list[tuple[float, int, str, Request]] = []
         self.order = itertools.count()
         for request in requests:
@@ -159,14 +168,14 @@
                 scheduler_lib.Target(name, frozenset(serving[name]), _SLOTS, 0)
             )
 
-    def _push(self, at: float, what: str, request: Request) -> None:
-        heapq.heappush(self.events, (at, next(self.order), what, request))
+    def _push(self, at: float, kind: str, request: Request) -> None:
+        heapq.heappush(self.events, (at, next(self.order), kind, request))
 
     def run(self) -> None:
-        """Runs until nothing is left."""
+        """Processes events in time order until none is left."""
         while self.events:
-            now, _, what, request = heapq.heappop(self.events)
-            if what == "ask":
+            now, _, kind, request = heapq.heappop(self.events)
+            if kind == "ask":
                 ask = scheduler_lib.Ask(
                     request.name,
                     request.team,
@@ -193,44 +202,44 @@
             if block not in engine.cache:
                 break
             covered += 1
-        self.hit += covered
-        self.read += len(request.blocks)
+        self.cached_blocks += covered
+        self.total_blocks += len(request.blocks)
         first = engine.first_token(now, request.blocks)
         self.first[request.name] = first - request.at
         self._push(first + request.tokens * _STEP_S, "end", request)
 
 
 def measure(policy: type, requests: list[Request]) -> dict[str, Any]:
-    """Returns one policy's figures."""
+    """Returns the cache hit share, attainment and latency of a policy."""
     run = _Run(policy(), requests)
     run.run()
     by_team = collections.defaultdict(list)
     for name, first in run.first.items():
         by_team[run.requests[name].team].append(first)
 
-    def attained(times: list[float]) -> float:
+    def attainment(times: list[float]) -> float:
         return sum(t <= _FIRST_TOKEN_S for t in times) / len(times)
 
-    every = sorted(run.first.values())
+    all_times = sorted(run.first.values())
     return {
-        "hit_share": run.hit / run.read,
-        "attained": attained(every),
+        "hit_share": run.cached_blocks / run.total_blocks,
+        "attained": attainment(all_times),
         "attained_per_engine_s": (
-            attained(every) * len(every) / _ENGINES / requests[-1].at
+            attainment(all_times) * len(all_times) / _ENGINES / requests[-1].at
         ),
-        "first_p95_s": every[int(len(every) * 0.95)],
-        "worst_team": min(map(attained, by_team.values())),
-        "apprentices": attained(by_team["apprentices"]),
+        "first_p95_s": all_times[int(len(all_times) * 0.95)],
+        "worst_team": min(map(attainment, by_team.values())),
+        "apprentices": attainment(by_team["apprentices"]),
     }
 
 
 def main() -> None:
-    """Prints a table for several loads."""
+    """Prints a row of figures per request rate and policy."""
     parser = argparse.ArgumentParser(prog="routing")
     parser.add_argument("--seed", type=int, default=1)
     arguments = parser.parse_args()
     policies = {
-        "random": Random,
+        "random": RandomChoice,
         "two_choices": TwoChoices,
         "least_loaded": LeastLoaded,
         "prefix": scheduler_lib.Scheduler,
