--- a/benchmarks/capacity/__init__.py
+++ b/benchmarks/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Measures the slopes behind docs/CAPACITY.md with real processes."""
+"""Capacity benchmarks: measures the figures behind docs/CAPACITY.md."""
--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -1,6 +1,7 @@
-"""`make bench`: measures all slopes, prints them and writes JSON.
+"""Capacity benchmarks (`make bench`): prints all results and writes JSON.
 
-Bounded in count and time (about six minutes), loopback only.
+A slope is the cost per message, token, line or record. Uses loopback only; the
+number of runs is bounded, and all take about six minutes.
 """
 
 from __future__ import annotations
@@ -24,14 +25,14 @@
 from capacity import pure
 
 
-def _plain(value: Any) -> Any:
-    """Turns results into JSON-ready data."""
+def _to_json_data(value: Any) -> Any:
+    """Converts results to data that JSON can represent."""
     if isinstance(value, fit.Line):
         return {**value._asdict(), "kind": "line"}
     if isinstance(value, dict):
-        return {name: _plain(item) for name, item in value.items()}
+        return {name: _to_json_data(item) for name, item in value.items()}
     if isinstance(value, list | tuple):
-        return [_plain(item) for item in value]
+        return [_to_json_data(item) for item in value]
     return value
 
 
@@ -42,14 +43,14 @@
     rules.write_text(pure.rules_text(380))
     processes.operate("rules", "apply", str(rules), address=host.address)
     driver = control.Driver(host=host)
-    driver.grow(8)
+    driver.open_links(8)
     results: dict[str, Any] = {"idle_memory_mib": host.memory_mib()}
     try:
         results["charging"] = await control.charging(driver)
         results["ticketing_16"] = await control.ticketing(driver, 16)
         results["reporting"] = await control.reporting(driver)
         results["committing"] = await control.committing(driver)
-        results["watching"] = await control.watching(driver)
+        results["watching"] = await control.renewing_leases(driver)
         results["changing"] = await control.changing(driver)
         results["end_memory_mib"] = host.memory_mib()
     finally:
@@ -61,16 +62,16 @@
 async def _gateway(folder: pathlib.Path) -> dict[str, Any]:
     site = gateway.Site(folder=folder)
     try:
-        before = site.gateway.cpu_seconds()
+        cpu_before = site.gateway.cpu_seconds()
         await asyncio.sleep(4.0)
-        idle = (site.gateway.cpu_seconds() - before) / 4.0
+        idle = (site.gateway.cpu_seconds() - cpu_before) / 4.0
         return {
             "idle_cpu_with_4_targets": idle,
             "idle_memory_mib": site.gateway.memory_mib(),
             "overhead": await gateway.overhead(site),
             "relaying": await gateway.relaying(site),
             "requesting": await gateway.requesting(site),
-            "homing": await gateway.homing(site),
+            "homing": await gateway.receiving_reports(site),
         }
     finally:
         site.close()
@@ -118,28 +119,30 @@
     return results
 
 
-def _show(value: Any, name: str, earlier: Any) -> None:
-    """Prints results, a line each, beside an earlier run's."""
-    before = earlier if isinstance(earlier, dict) else {}
+def _print_results(value: Any, name: str, earlier: Any) -> None:
+    """Prints one line per result, with the value of an earlier run."""
+    earlier_items = earlier if isinstance(earlier, dict) else {}
     if isinstance(value, dict) and value.get("kind") == "line":
         text = f"{value['slope']:.3g} +- {value['error']:.1g} a unit, "
         text += f"{value['intercept']:.3g} at zero"
-        if "slope" in before:
-            text += f" (earlier {before['slope']:.3g})"
+        if "slope" in earlier_items:
+            text += f" (earlier {earlier_items['slope']:.3g})"
         print(f"{name}: {text}")
     elif isinstance(value, dict):
         for key, item in value.items():
-            _show(item, f"{name}.{key}" if name else key, before.get(key))
+            _print_results(
+                item, f"{name}.{key}" if name else key, earlier_items.get(key)
+            )
     elif isinstance(value, list):
         for item in value:
-            pairs = (f"{k}={_text(v)}" for k, v in item.items())
+            pairs = (f"{k}={_format_value(v)}" for k, v in item.items())
             print(f"{name}: {' '.join(pairs)}")
     else:
-        more = f" (earlier {earlier:.4g})" if earlier is not None else ""
-        print(f"{name}: {_text(value)}{more}")
+        comparison = f" (earlier {earlier:.4g})" if earlier is not None else ""
+        print(f"{name}: {_format_value(value)}{comparison}")
 
 
-def _text(value: Any) -> str:
+def _format_value(value: Any) -> str:
     return value if isinstance(value, str) else f"{value:.4g}"
 
 
@@ -152,20 +155,21 @@
         "--only", action="append", choices=_SECTIONS, help="may be repeated"
     )
     arguments = parser.parse_args()
-    logger.remove()  # Links of the bench itself log their moves.
-    begun = time.monotonic()
+    logger.remove()  # The benchmark's own links log when they change peers.
+    started_at = time.monotonic()
     with tempfile.TemporaryDirectory() as folder:
-        results = _plain(
+        results = _to_json_data(
             asyncio.run(_measure(pathlib.Path(folder), arguments.only))
         )
-    # Written first: a fault in showing must not cost the measurement.
+    # Written before printing, so that an error in the printing code does not
+    # lose the results.
     arguments.output.parent.mkdir(parents=True, exist_ok=True)
     arguments.output.write_text(json.dumps(results, indent=1) + "\n")
     earlier = {}
     if arguments.compare:
         earlier = json.loads(arguments.compare.read_text())
-    _show(results, "", earlier)
-    print(f"measured in {time.monotonic() - begun:.0f} s")
+    _print_results(results, "", earlier)
+    print(f"measured in {time.monotonic() - started_at:.0f} s")
     return 0
 
 
--- a/benchmarks/capacity/agreement.py
+++ b/benchmarks/capacity/agreement.py
@@ -1,4 +1,4 @@
-"""The log with real processes: commits, elections, revocation, changes."""
+"""Measures commits, elections, revocation and changes with real processes."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 _WINDOW_SECONDS = 3.0
 
 
-def _begin(number: int) -> messages.Propose:
+def _begin_call_proposal(number: int) -> messages.Propose:
     command = calls.BeginCall(
         team="team1",
         service="desk",
@@ -35,9 +35,9 @@
 
 
 class Proposer:
-    """A way to the leader, with a few links to share."""
+    """Proposes commands to the leader through several links."""
 
-    def __init__(self, *, addresses: list[str], links_used: int = 1) -> None:
+    def __init__(self, *, addresses: list[str], link_count: int = 1) -> None:
         self._context = zmq.asyncio.Context()
         self._links = [
             leader_link.LeaderLink(
@@ -48,31 +48,31 @@
                 attempt_seconds=0.3,
                 on_move=lambda: None,
             )
-            for _ in range(links_used)
+            for _ in range(link_count)
         ]
         for link in self._links:
             link.start()
 
     async def close(self) -> None:
-        """Closes the links."""
+        """Closes all links."""
         for link in self._links:
             await link.close()
         self._context.destroy(linger=0)
 
     async def commit(self, number: int, seconds: float = 10.0) -> None:
-        """Commits one command."""
+        """Proposes one command and waits until it is committed."""
         link = self._links[number % len(self._links)]
-        await link.request(_begin(number), seconds=seconds)
+        await link.request(_begin_call_proposal(number), seconds=seconds)
 
 
 async def committing(folder: pathlib.Path) -> list[dict[str, float]]:
-    """Commit latency and rate against replicas and proposers at once."""
+    """Returns commit latency and rate by replicas and concurrent proposers."""
     rows = []
     for replicas in (1, 3, 5):
         site = processes.ControlSite(
-            folder=_folder(folder, f"commit{replicas}"), count=replicas
+            folder=_create_folder(folder, f"commit{replicas}"), count=replicas
         )
-        proposer = Proposer(addresses=site.addresses, links_used=8)
+        proposer = Proposer(addresses=site.addresses, link_count=8)
         try:
             await proposer.commit(0)
             for at_once in (1, 8, 32, 128):
@@ -90,31 +90,31 @@
 
 
 async def _commit_window(proposer: Proposer, at_once: int) -> dict[str, float]:
-    seen = control_lib.histogram()
-    until = time.monotonic() + _WINDOW_SECONDS
+    latencies = control_lib.histogram()
+    deadline = time.monotonic() + _WINDOW_SECONDS
 
-    async def one(number: int) -> int:
-        done = 0
-        while time.monotonic() < until:
-            begun = time.perf_counter()
+    async def propose(number: int) -> int:
+        commit_count = 0
+        while time.monotonic() < deadline:
+            started_at = time.perf_counter()
             await proposer.commit(number)
-            taken = int((time.perf_counter() - begun) * 1e6)
-            seen.record_value(max(1, taken))
-            done += 1
-        return done
+            microseconds = int((time.perf_counter() - started_at) * 1e6)
+            latencies.record_value(max(1, microseconds))
+            commit_count += 1
+        return commit_count
 
-    counts = await asyncio.gather(*(one(n) for n in range(at_once)))
+    counts = await asyncio.gather(*(propose(n) for n in range(at_once)))
     return {
         "commits_s": sum(counts) / _WINDOW_SECONDS,
-        "p50_ms": seen.get_value_at_percentile(50) / 1e3,
-        "p95_ms": seen.get_value_at_percentile(95) / 1e3,
+        "p50_ms": latencies.get_value_at_percentile(50) / 1e3,
+        "p95_ms": latencies.get_value_at_percentile(95) / 1e3,
     }
 
 
 async def electing(folder: pathlib.Path) -> list[dict[str, Any]]:
-    """Seconds without commits after a fault, against the election time.
+    """Returns the seconds without commits after a fault, by election time.
 
-    Also counts elections in a quiet time under load: false suspicions.
+    Also counts false elections: those under load while no host fails.
     """
     rows = []
     for election in (0.1, 0.2, 0.5, 1.0):
@@ -123,25 +123,27 @@
             f"lease_seconds = {max(3.0, 3 * election + 1)}\n"
         )
         site = processes.ControlSite(
-            folder=_folder(folder, f"elect{election}"), count=3, more=more
+            folder=_create_folder(folder, f"elect{election}"),
+            count=3,
+            more=more,
         )
-        proposer = Proposer(addresses=site.addresses, links_used=8)
+        proposer = Proposer(addresses=site.addresses, link_count=8)
         try:
             term = site.view("status")["term"]
             await _commit_window(proposer, 64)
             await _commit_window(proposer, 64)
-            false = site.view("status")["term"] - term
+            false_elections = site.view("status")["term"] - term
             for fault in ("kill", "stop"):
                 gaps = []
                 for _ in range(4):
-                    gaps.append(await _gap(site, proposer, fault))
+                    gaps.append(await _commit_gap(site, proposer, fault))
                 rows.append(
                     {
                         "election_s": election,
                         "fault": fault,
                         "median_s": sorted(gaps)[1],
                         "worst_s": max(gaps),
-                        "false_elections_in_6_s": false,
+                        "false_elections_in_6_s": false_elections,
                     }
                 )
         finally:
@@ -150,18 +152,18 @@
     return rows
 
 
-async def _gap(
+async def _commit_gap(
     site: processes.ControlSite, proposer: Proposer, fault: str
 ) -> float:
-    """Strikes the leader; returns the longest time between two commits."""
+    """Kills or stops the leader; returns the seconds until the next commit."""
     leader = site.wait_leader()
     host = site.hosts[leader]
     number = int(time.monotonic_ns())
     await proposer.commit(number)
     host.signal(signal.SIGKILL if fault == "kill" else signal.SIGSTOP)
-    begun = time.perf_counter()
+    started_at = time.perf_counter()
     await proposer.commit(number + 1, seconds=30.0)
-    gap = time.perf_counter() - begun
+    gap = time.perf_counter() - started_at
     if fault == "kill":
         host.process.wait()
         site.restart(leader)
@@ -172,109 +174,123 @@
     return gap
 
 
-def _folder(folder: pathlib.Path, name: str) -> pathlib.Path:
-    made = folder / name
-    made.mkdir()
-    return made
+def _create_folder(folder: pathlib.Path, name: str) -> pathlib.Path:
+    path = folder / name
+    path.mkdir()
+    return path
 
 
 class Forwarder:
-    """Passes bytes between a host and a control host until told to stop.
+    """Forwards bytes between a host and a control host until stopped.
 
-    Connections stay open and say nothing more, in either direction, as
-    behind a middlebox that forgot them; new ones are taken and stay silent.
+    After that, connections stay open but forward nothing in either direction,
+    as behind a middlebox that lost its connection state. New connections are
+    accepted and forward nothing either.
     """
 
     def __init__(self, *, port: int) -> None:
         self._port = port
-        self._silent = threading.Event()
+        self._stopped = threading.Event()
         self._listener = socket.create_server(("127.0.0.1", 0))
         threading.Thread(target=self._accept, daemon=True).start()
 
     @property
     def address(self) -> str:
-        """Where it listens."""
+        """Address on which the forwarder listens."""
         return f"tcp://127.0.0.1:{self._listener.getsockname()[1]}"
 
-    def fall_silent(self) -> None:
-        """Passes nothing on any more."""
-        self._silent.set()
+    def stop_forwarding(self) -> None:
+        """Stops forwarding, but keeps connections open."""
+        self._stopped.set()
 
     def _accept(self) -> None:
         while True:
-            here, _ = self._listener.accept()
-            there = socket.create_connection(("127.0.0.1", self._port))
-            for a, b in ((here, there), (there, here)):
+            client_socket, _ = self._listener.accept()
+            server_socket = socket.create_connection(("127.0.0.1", self._port))
+            for source_socket, destination_socket in (
+                (client_socket, server_socket),
+                (server_socket, client_socket),
+            ):
                 threading.Thread(
-                    target=self._pump, args=(a, b), daemon=True
+                    target=self._forward_bytes,
+                    args=(source_socket, destination_socket),
+                    daemon=True,
                 ).start()
 
-    def _pump(self, source: socket.socket, sink: socket.socket) -> None:
+    def _forward_bytes(
+        self, source: socket.socket, destination: socket.socket
+    ) -> None:
         try:
             while data := source.recv(65536):
-                if not self._silent.is_set():
-                    sink.sendall(data)
+                if not self._stopped.is_set():
+                    destination.sendall(data)
         except OSError:
             pass
 
 
 def revoking(folder: pathlib.Path) -> list[dict[str, Any]]:
-    """Seconds from `key revoke` to the last request that a host accepted.
+    """Returns the seconds from `key revoke` to the last accepted request.
 
-    One host is cut off from the control host a moment before.
+    One of two hosts loses its connection to the control host just before.
     """
     rows = []
-    for turn in range(5):
-        made = _folder(folder, f"revoke{turn}")
-        site = processes.ControlSite(folder=made, count=1)
+    for repetition in range(5):
+        run_folder = _create_folder(folder, f"revoke{repetition}")
+        site = processes.ControlSite(folder=run_folder, count=1)
         port = int(site.addresses[0].rsplit(":", 1)[1])
         forwarder = Forwarder(port=port)
-        cut = processes.Host(
-            folder=made, name="cut", control=[forwarder.address]
+        isolated = processes.Host(
+            folder=run_folder, name="cut", control=[forwarder.address]
+        )
+        connected = processes.Host(
+            folder=run_folder, name="near", control=site.addresses
         )
-        near = processes.Host(folder=made, name="near", control=site.addresses)
         try:
-            rows.append(_revoke(site, made, cut, near, forwarder))
+            rows.append(
+                _measure_revocation(
+                    site, run_folder, isolated, connected, forwarder
+                )
+            )
         finally:
-            for host in (cut, near):
+            for host in (isolated, connected):
                 host.kill()
             site.close()
     return rows
 
 
-def _revoke(
+def _measure_revocation(
     site: processes.ControlSite,
     folder: pathlib.Path,
-    cut: processes.Host,
-    near: processes.Host,
+    isolated: processes.Host,
+    connected: processes.Host,
     forwarder: Forwarder,
 ) -> dict[str, Any]:
     rules = folder / "rules.txt"
     rules.write_text("team band rate=1000 burst=1000 # bench\n")
     site.operate("rules", "apply", str(rules))
-    made = site.operate(
+    created = site.operate(
         "key", "create", "--label=k", "--team=band", "--wait=10"
     )
-    headers = {"Authorization": f"Bearer {json.loads(made.stdout)['key']}"}
-    for host in (cut, near):
+    headers = {"Authorization": f"Bearer {json.loads(created.stdout)['key']}"}
+    for host in (isolated, connected):
         host.wait_ready()
         processes.wait_for(
             lambda host=host: _accepts(host, headers), "the key works"
         )
-    forwarder.fall_silent()
-    begun = time.monotonic()
+    forwarder.stop_forwarding()
+    started_at = time.monotonic()
     last = dict.fromkeys(("cut", "near"), 0.0)
-    done = threading.Thread(
+    revoke_thread = threading.Thread(
         target=site.operate, args=("key", "revoke", "k", "--wait=10")
     )
-    done.start()
+    revoke_thread.start()
     in_force = 0.0
-    while time.monotonic() - begun < 6.0:
-        for host in (cut, near):
+    while time.monotonic() - started_at < 6.0:
+        for host in (isolated, connected):
             if _accepts(host, headers):
-                last[host.name] = time.monotonic() - begun
-        if not in_force and not done.is_alive():
-            in_force = time.monotonic() - begun
+                last[host.name] = time.monotonic() - started_at
+        if not in_force and not revoke_thread.is_alive():
+            in_force = time.monotonic() - started_at
     return {
         "cut_off_last_s": last["cut"],
         "connected_last_s": last["near"],
@@ -288,8 +304,10 @@
 
 
 def applying(folder: pathlib.Path) -> list[dict[str, float]]:
-    """Seconds of `rules apply --wait` on eight hosts."""
-    site = processes.ControlSite(folder=_folder(folder, "apply"), count=3)
+    """Returns the duration of `rules apply --wait` with eight hosts."""
+    site = processes.ControlSite(
+        folder=_create_folder(folder, "apply"), count=3
+    )
     gateways = [
         processes.Host(folder=folder, name=f"g{n}", control=site.addresses)
         for n in range(5)
@@ -298,14 +316,14 @@
     try:
         for host in gateways:
             host.wait_ready()
-        time.sleep(3.2)  # Leases before the last election are over.
-        for turn in range(10):
-            rules = folder / f"apply{turn}.txt"
-            rules.write_text(f"team t rate=1 burst={turn + 1} # bench\n")
-            begun = time.monotonic()
-            done = site.operate("rules", "apply", str(rules), "--wait=10")
-            assert done.returncode == 0, done.stderr
-            rows.append({"seconds": time.monotonic() - begun})
+        time.sleep(3.2)  # Leases given before the last election expire.
+        for repetition in range(10):
+            rules = folder / f"apply{repetition}.txt"
+            rules.write_text(f"team t rate=1 burst={repetition + 1} # bench\n")
+            started_at = time.monotonic()
+            completed = site.operate("rules", "apply", str(rules), "--wait=10")
+            assert completed.returncode == 0, completed.stderr
+            rows.append({"seconds": time.monotonic() - started_at})
     finally:
         for host in gateways:
             host.kill()
--- a/benchmarks/capacity/control.py
+++ b/benchmarks/capacity/control.py
@@ -1,4 +1,4 @@
-"""Slopes of the control host: processor time against each kind of message."""
+"""Measures processor time of a control host against rates of messages."""
 
 from __future__ import annotations
 
@@ -22,25 +22,25 @@
 
 
 def histogram() -> hdrh.histogram.HdrHistogram:
-    """Returns an empty histogram of microseconds up to a minute."""
+    """Returns an empty histogram of microseconds, up to one minute."""
     return hdrh.histogram.HdrHistogram(1, 60_000_000, 3)
 
 
-def _info(name: str) -> messages.HostInfo:
+def _host_info(name: str) -> messages.HostInfo:
     caller_url, inner_url = "http://10.0.12.34:8080", "http://10.0.12.34:8081"
     return messages.HostInfo(name, 1, "d1", caller_url, inner_url, False)
 
 
 class Driver:
-    """Links to one control host."""
+    """Sends messages to one control host through several links."""
 
     def __init__(self, *, host: processes.Host) -> None:
         self._host = host
         self._context = zmq.asyncio.Context()
         self.links: list[links.Link] = []
 
-    def grow(self, count: int) -> None:
-        """Opens links until there are `count`."""
+    def open_links(self, count: int) -> None:
+        """Opens links until `count` are open."""
         while len(self.links) < count:
             link = links.Link(
                 address=self._host.peers_address,
@@ -57,88 +57,91 @@
             await link.close()
         self._context.destroy(linger=0)
 
-    async def paced(self, rate: float, work: Any) -> tuple[float, Any]:
-        """Runs `work(n)` at a rate for a window.
+    async def run_at_rate(self, rate: float, work: Any) -> tuple[float, Any]:
+        """Starts `work(n)` at a rate a second during the measurement window.
 
         Returns:
             Processor seconds a second of the control process, and a histogram
-            of the answers' microseconds.
+            of the latencies in microseconds.
         """
-        seen = histogram()
+        latencies = histogram()
         tasks = set()
-        begun = time.monotonic()
-        before = self._host.cpu_seconds()
+        started_at = time.monotonic()
+        cpu_before = self._host.cpu_seconds()
 
-        async def one(n: int) -> None:
-            start = time.perf_counter()
+        async def timed_request(n: int) -> None:
+            sent_at = time.perf_counter()
             await work(n)
-            taken = int((time.perf_counter() - start) * 1e6)
-            seen.record_value(max(1, taken))
+            microseconds = int((time.perf_counter() - sent_at) * 1e6)
+            latencies.record_value(max(1, microseconds))
 
         number = 0
-        while (now := time.monotonic()) - begun < _WINDOW_SECONDS:
-            due = int((now - begun) * rate)
-            for n in range(number, due):
-                task = asyncio.create_task(one(n))
+        while (now := time.monotonic()) - started_at < _WINDOW_SECONDS:
+            due_count = int((now - started_at) * rate)
+            for n in range(number, due_count):
+                task = asyncio.create_task(timed_request(n))
                 tasks.add(task)
                 task.add_done_callback(tasks.discard)
-            number = max(number, due)
+            number = max(number, due_count)
             await asyncio.sleep(0.005)
         await asyncio.gather(*tasks)
-        wall = time.monotonic() - begun
-        return (self._host.cpu_seconds() - before) / wall, seen
+        elapsed = time.monotonic() - started_at
+        return (self._host.cpu_seconds() - cpu_before) / elapsed, latencies
 
 
-def _row(seen: Any) -> dict[str, float]:
+def _percentiles(latencies: Any) -> dict[str, float]:
     return {
-        "p50_ms": seen.get_value_at_percentile(50) / 1e3,
-        "p95_ms": seen.get_value_at_percentile(95) / 1e3,
-        "p99_ms": seen.get_value_at_percentile(99) / 1e3,
+        "p50_ms": latencies.get_value_at_percentile(50) / 1e3,
+        "p95_ms": latencies.get_value_at_percentile(95) / 1e3,
+        "p99_ms": latencies.get_value_at_percentile(99) / 1e3,
     }
 
 
-async def _sweep(driver: Driver, rates: Any, work: Any) -> dict[str, Any]:
+async def _measure_rates(
+    driver: Driver, rates: Any, work: Any
+) -> dict[str, Any]:
     points, rows = [], []
     for rate in rates:
-        cpu, seen = await driver.paced(rate, work)
+        cpu, latencies = await driver.run_at_rate(rate, work)
         points.append((float(rate), cpu))
-        rows.append({"rate": rate, "cpu": cpu, **_row(seen)})
+        rows.append({"rate": rate, "cpu": cpu, **_percentiles(latencies)})
     return {"line": fit.line(points), "rows": rows}
 
 
-async def watching(
+async def renewing_leases(
     driver: Driver, counts: tuple[int, ...] = (25, 50, 100, 200, 390)
 ) -> dict[str, Any]:
-    """Processor time against gateways that renew their lease each 0.5 s."""
-    driver.grow(max(counts))
+    """Returns processor time by gateways that renew leases every 0.5 s."""
+    driver.open_links(max(counts))
     points, rows = [], []
-    have: dict[int, tuple[int, int]] = {}
+    known_versions: dict[int, tuple[int, int]] = {}
     for count in counts:
 
         async def work(n: int, count: int = count) -> None:
-            which = n % count
-            version, hosts_seen = have.get(which, (0, 0))
-            answer = await driver.links[which].request(
+            index = n % count
+            version, hosts_seen = known_versions.get(index, (0, 0))
+            answer = await driver.links[index].request(
                 messages.Watch(
-                    host=_info(f"w{which}"),
+                    host=_host_info(f"w{index}"),
                     have=version,
                     hosts_seen=hosts_seen,
                     running=0,
                 ),
                 seconds=5,
             )
-            have[which] = answer.version, answer.hosts_version
+            known_versions[index] = answer.version, answer.hosts_version
 
-        await driver.paced(count * 2, work)  # The new ones fetch the whole.
+        # In this unmeasured run, new hosts fetch the complete configuration.
+        await driver.run_at_rate(count * 2, work)
 
-        cpu, seen = await driver.paced(count * 2, work)
+        cpu, latencies = await driver.run_at_rate(count * 2, work)
         points.append((float(count), cpu))
-        rows.append({"hosts": count, "cpu": cpu, **_row(seen)})
+        rows.append({"hosts": count, "cpu": cpu, **_percentiles(latencies)})
     return {"line": fit.line(points), "rows": rows}
 
 
 async def charging(driver: Driver) -> dict[str, Any]:
-    """Processor time against charges a second (charge, then ending)."""
+    """Returns processor time by charges a second, each with its completion."""
 
     async def work(n: int) -> None:
         link = driver.links[n % 8]
@@ -150,11 +153,11 @@
         ending = messages.Ending(request=name, team="team1", used=1)
         await link.request(messages.Endings(endings=[ending]), seconds=5)
 
-    return await _sweep(driver, (100, 200, 400, 800), work)
+    return await _measure_rates(driver, (100, 200, 400, 800), work)
 
 
 async def ticketing(driver: Driver, targets: int) -> dict[str, Any]:
-    """Processor time against tickets a second (ticket, then ending)."""
+    """Returns processor time by tickets a second, each with its completion."""
     link = driver.links[0]
     for n in range(targets):
         await link.request(
@@ -172,7 +175,7 @@
             seconds=5,
         )
     stop = asyncio.Event()
-    reporter = asyncio.create_task(_report(driver, targets, stop))
+    reporter = asyncio.create_task(_report_targets(driver, targets, stop))
 
     async def work(n: int) -> None:
         link = driver.links[n % 8]
@@ -192,13 +195,15 @@
         ending = messages.Ending(request=name, team="", used=100)
         await link.request(messages.Endings(endings=[ending]), seconds=5)
 
-    result = await _sweep(driver, (50, 100, 200, 400), work)
+    result = await _measure_rates(driver, (50, 100, 200, 400), work)
     stop.set()
     await reporter
     return result
 
 
-async def _report(driver: Driver, targets: int, stop: asyncio.Event) -> None:
+async def _report_targets(
+    driver: Driver, targets: int, stop: asyncio.Event
+) -> None:
     sequence = 0
     while not stop.is_set():
         sequence += 1
@@ -215,7 +220,11 @@
 
 
 async def reporting(driver: Driver) -> dict[str, Any]:
-    """Processor time against targets that report each second, 8 homes."""
+    """Returns processor time by targets that report once a second.
+
+    The reports arrive in 80 batches a second over 8 links, as from the
+    targets' home gateways.
+    """
     counts = (81, 162, 325, 650)
     link = driver.links[0]
     for n in range(max(counts)):
@@ -230,7 +239,7 @@
         async def work(n: int, count: int = count) -> None:
             nonlocal sequence
             sequence += 1
-            home = n % 80
+            home_index = n % 80
             reports = [
                 messages.TargetReport(
                     name=f"r{t}",
@@ -240,33 +249,35 @@
                     running=4,
                     queued_tokens=900,
                 )
-                for t in range(home, count, 80)
+                for t in range(home_index, count, 80)
             ]
-            await driver.links[home % 8].request(
+            await driver.links[home_index % 8].request(
                 messages.Report(reports=reports), seconds=5
             )
 
-        cpu, seen = await driver.paced(80, work)
+        cpu, latencies = await driver.run_at_rate(80, work)
         points.append((float(count), cpu))
-        rows.append({"targets": count, "cpu": cpu, **_row(seen)})
+        rows.append({"targets": count, "cpu": cpu, **_percentiles(latencies)})
     return {"line": fit.line(points), "rows": rows}
 
 
 async def committing(driver: Driver) -> dict[str, Any]:
-    """Commit latency and commits a second, against proposers at once."""
+    """Returns commit latency and processor time by concurrent proposers."""
     rows, points = [], []
     number = 0
     for proposers in (1, 8, 32, 128):
-        seen = histogram()
-        until = time.monotonic() + _WINDOW_SECONDS
-        before = driver._host.cpu_seconds()
+        latencies = histogram()
+        deadline = time.monotonic() + _WINDOW_SECONDS
+        cpu_before = driver._host.cpu_seconds()
 
         async def proposer(
-            until: float = until, which: int = 0, seen: Any = seen
+            deadline: float = deadline,
+            index: int = 0,
+            latencies: Any = latencies,
         ) -> int:
             nonlocal number
-            done = 0
-            while time.monotonic() < until:
+            commit_count = 0
+            while time.monotonic() < deadline:
                 number += 1
                 name = f"{int(time.time())}-{number}"
                 command = calls.BeginCall(
@@ -277,42 +288,42 @@
                     holder=f"w/1/{number}",
                     at=time.time(),
                 )
-                start = time.perf_counter()
-                await driver.links[which % 8].request(
+                sent_at = time.perf_counter()
+                await driver.links[index % 8].request(
                     messages.Propose(command=command), seconds=10
                 )
-                taken = int((time.perf_counter() - start) * 1e6)
-                seen.record_value(max(1, taken))
-                done += 1
-            return done
+                microseconds = int((time.perf_counter() - sent_at) * 1e6)
+                latencies.record_value(max(1, microseconds))
+                commit_count += 1
+            return commit_count
 
         counts = await asyncio.gather(
-            *(proposer(which=n) for n in range(proposers))
+            *(proposer(index=n) for n in range(proposers))
         )
         rate = sum(counts) / _WINDOW_SECONDS
-        cpu = (driver._host.cpu_seconds() - before) / _WINDOW_SECONDS
+        cpu = (driver._host.cpu_seconds() - cpu_before) / _WINDOW_SECONDS
         points.append((rate, cpu))
         rows.append(
             {
                 "proposers": proposers,
                 "commits_s": rate,
                 "cpu": cpu,
-                **_row(seen),
+                **_percentiles(latencies),
             }
         )
     return {"line": fit.line(points), "rows": rows}
 
 
 async def changing(driver: Driver) -> list[dict[str, float]]:
-    """Seconds until a change is acknowledged by all, against gateways."""
+    """Returns the seconds until all gateways acknowledge a change."""
     rows = []
     link = driver.links[0]
     for count in (25, 50, 100, 200, 390):
-        seen = histogram()
-        for turn in range(5):
-            await _watch_all(driver, count)
-            begun = time.perf_counter()
-            name = f"k{count}-{turn}-{time.monotonic_ns()}"
+        latencies = histogram()
+        for repetition in range(5):
+            await _renew_all(driver, count)
+            started_at = time.perf_counter()
+            name = f"k{count}-{repetition}-{time.monotonic_ns()}"
             answer = await link.request(
                 messages.Propose(
                     command=configuration.CreateKey(
@@ -326,19 +337,25 @@
                 ),
                 seconds=5,
             )
-            await _watch_all(driver, count, answer.result.version)
-            seen.record_value(int((time.perf_counter() - begun) * 1e6))
-        rows.append({"hosts": count, **_row(seen)})
+            await _renew_all(driver, count, answer.result.version)
+            latencies.record_value(
+                int((time.perf_counter() - started_at) * 1e6)
+            )
+        rows.append({"hosts": count, **_percentiles(latencies)})
     return rows
 
 
-async def _watch_all(driver: Driver, count: int, have: int = 1) -> None:
-    async def one(which: int) -> None:
-        link = driver.links[which]
-        host = _info(f"w{which}")
-        # Once to fetch what is new, once to acknowledge it.
+async def _renew_all(
+    driver: Driver, count: int, known_version: int = 1
+) -> None:
+    async def renew_twice(index: int) -> None:
+        link = driver.links[index]
+        host = _host_info(f"w{index}")
+        # The first renewal fetches the update, the second acknowledges it.
         answer = await link.request(
-            messages.Watch(host=host, have=max(1, have - 1), running=0),
+            messages.Watch(
+                host=host, have=max(1, known_version - 1), running=0
+            ),
             seconds=10,
         )
         await link.request(
@@ -346,11 +363,11 @@
             seconds=10,
         )
 
-    await asyncio.gather(*(one(n) for n in range(count)))
+    await asyncio.gather(*(renew_twice(n) for n in range(count)))
 
 
 async def restarting(folder: pathlib.Path) -> list[dict[str, float]]:
-    """Seconds to start and memory, against records in the state."""
+    """Returns start time and memory of a host by records in its state."""
     rows = []
     for records in (0, 5000, 10_000, 20_000):
         name = f"restart{records}"
@@ -358,14 +375,14 @@
         try:
             host.wait_ready()
             driver = Driver(host=host)
-            driver.grow(8)
-            await _fill(driver, records)
+            driver.open_links(8)
+            await _propose_records(driver, records)
             await driver.close()
             host.kill()
-            begun = time.perf_counter()
+            started_at = time.perf_counter()
             host = processes.Host(folder=folder, name=name)
             host.wait_ready()
-            seconds = time.perf_counter() - begun
+            seconds = time.perf_counter() - started_at
             size = sum(f.stat().st_size for f in (folder / name).iterdir())
             rows.append(
                 {
@@ -380,9 +397,9 @@
     return rows
 
 
-async def _fill(driver: Driver, records: int) -> None:
-    async def some(which: int) -> None:
-        for n in range(which, records, 64):
+async def _propose_records(driver: Driver, records: int) -> None:
+    async def propose_share(index: int) -> None:
+        for n in range(index, records, 64):
             command = calls.BeginCall(
                 team="team1",
                 service="desk",
@@ -391,17 +408,17 @@
                 holder=f"w/1/{n}",
                 at=time.time(),
             )
-            await driver.links[which % 8].request(
+            await driver.links[index % 8].request(
                 messages.Propose(command=command), seconds=10
             )
 
-    await asyncio.gather(*(some(which) for which in range(64)))
+    await asyncio.gather(*(propose_share(index) for index in range(64)))
 
 
 def sizes() -> dict[str, int]:
-    """Bytes of the messages on the links."""
-    watch = messages.Watch(host=_info("host-123"), have=1000, running=140)
-    hosts = [_info(f"host-{n}") for n in range(390)]
+    """Returns the encoded sizes of messages in bytes."""
+    watch = messages.Watch(host=_host_info("host-123"), have=1000, running=140)
+    hosts = [_host_info(f"host-{n}") for n in range(390)]
 
     def lease(update: Any, table: Any) -> messages.Lease:
         return messages.Lease(
--- a/benchmarks/capacity/fit.py
+++ b/benchmarks/capacity/fit.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points, with their error."""
+"""Least-squares lines through measured points."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
     """A least-squares line.
 
     Attributes:
-        slope: Rise of y for one more of x.
-        intercept: y at x = 0.
+        slope: Increase of y per unit of x.
+        intercept: Value of y at x = 0.
         error: Standard error of the slope.
-        points: What it was fitted to, as (x, y).
+        points: Fitted points as (x, y).
     """
 
     slope: float
@@ -28,8 +28,8 @@
     xs = [x for x, _ in points]
     ys = [y for _, y in points]
     slope, intercept = statistics.linear_regression(xs, ys)
-    residue = sum((y - slope * x - intercept) ** 2 for x, y in points)
-    mean = statistics.fmean(xs)
-    spread = sum((x - mean) ** 2 for x in xs)
-    error = math.sqrt(residue / (len(points) - 2) / spread)
+    residual_sum = sum((y - slope * x - intercept) ** 2 for x, y in points)
+    x_mean = statistics.fmean(xs)
+    x_sum_of_squares = sum((x - x_mean) ** 2 for x in xs)
+    error = math.sqrt(residual_sum / (len(points) - 2) / x_sum_of_squares)
     return Line(slope, intercept, error, points)
--- a/benchmarks/capacity/gateway.py
+++ b/benchmarks/capacity/gateway.py
@@ -1,4 +1,4 @@
-"""Slopes of a gateway: processor time a token and a request, added latency."""
+"""Measures processor time per token and request and latency of a gateway."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
 
 
 class Site:
-    """A control host, one gateway host and four engines."""
+    """Processes of a control host, a gateway host and four engines."""
 
     def __init__(self, *, folder: pathlib.Path) -> None:
         self._folder = folder
-        self._all: list[processes.Process] = []
-        self.control = self._host("control", None)
-        self.gateway = self._host("gateway", self.control)
+        self._processes: list[processes.Process] = []
+        self.control = self._start_host("control", None)
+        self.gateway = self._start_host("gateway", self.control)
         rules = folder / "rules.txt"
         rules.write_text(_RULES)
         processes.operate(
             "rules", "apply", str(rules), address=self.control.address
         )
-        made = processes.operate(
+        created = processes.operate(
             "--output=json",
             "key",
             "create",
@@ -45,7 +45,7 @@
             "--wait=10",
             address=self.control.address,
         )
-        self.key = json.loads(made.stdout)["key"]
+        self.key = json.loads(created.stdout)["key"]
         self.engines = [
             processes.stand_in(
                 "engine",
@@ -60,39 +60,39 @@
             )
             for n in range(_ENGINES)
         ]
-        self._all += self.engines
+        self._processes += self.engines
         processes.wait_for(self._engines_live, "engines are live")
 
-    def _host(self, name: str, control: Any) -> processes.Host:
+    def _start_host(self, name: str, control: Any) -> processes.Host:
         host = processes.Host(
             folder=self._folder,
             name=name,
             control=[control.peers_address] if control else [],
             more="[requests]\nqueue_seconds = 30\n",
         )
-        self._all.append(host)
+        self._processes.append(host)
         host.wait_ready()
         return host
 
     def _engines_live(self) -> bool:
-        done = processes.operate(
+        completed = processes.operate(
             "--output=json", "models", address=self.control.address
         )
-        return json.loads(done.stdout).get("brass") == _ENGINES
+        return json.loads(completed.stdout).get("brass") == _ENGINES
 
     def close(self) -> None:
-        """Ends all processes."""
-        for process in self._all:
+        """Kills all processes."""
+        for process in self._processes:
             process.kill()
 
     def engine_address(self) -> str:
-        """Returns IP:PORT of the first engine."""
+        """Returns `IP:PORT` of the first engine."""
         text = self.engines[0].log.read_text()
         return f"127.0.0.1:{text.split('port=')[1].split()[0]}"
 
 
-async def stream(address: str, key: str, count: int, seen: Any) -> float:
-    """Reads one stream; records microseconds between its tokens.
+async def stream(address: str, key: str, count: int, token_gaps: Any) -> float:
+    """Reads one stream and records the microseconds between tokens.
 
     Returns:
         Seconds to the first token.
@@ -107,7 +107,7 @@
             "stream": True,
         }
     ).encode()
-    begun = time.perf_counter()
+    started_at = time.perf_counter()
     writer.write(
         f"POST /v1/chat/completions HTTP/1.1\r\nHost: {address}\r\n"
         f"Authorization: Bearer {key}\r\nEndivestream-Attempt: a.1\r\n"
@@ -121,29 +121,32 @@
             continue
         now = time.perf_counter()
         if not first:
-            first = now - begun
+            first = now - started_at
         else:
-            seen.record_value(max(1, int((now - last) * 1e6)))
+            token_gaps.record_value(max(1, int((now - last) * 1e6)))
         last = now
     writer.close()
     return first
 
 
 async def relaying(site: Site) -> dict[str, Any]:
-    """Processor time against tokens relayed a second."""
+    """Returns processor time by relayed tokens a second."""
     address = site.gateway.url.removeprefix("http://")
     points, rows = [], []
     tokens = 120
     for streams in (8, 32, 64, 128):
-        seen = control_lib.histogram()
-        before = site.gateway.cpu_seconds()
-        begun = time.monotonic()
+        token_gaps = control_lib.histogram()
+        cpu_before = site.gateway.cpu_seconds()
+        started_at = time.monotonic()
         firsts = await asyncio.gather(
-            *(stream(address, site.key, tokens, seen) for _ in range(streams))
+            *(
+                stream(address, site.key, tokens, token_gaps)
+                for _ in range(streams)
+            )
         )
-        wall = time.monotonic() - begun
-        cpu = (site.gateway.cpu_seconds() - before) / wall
-        rate = streams * tokens / wall
+        elapsed = time.monotonic() - started_at
+        cpu = (site.gateway.cpu_seconds() - cpu_before) / elapsed
+        rate = streams * tokens / elapsed
         points.append((rate, cpu))
         rows.append(
             {
@@ -152,14 +155,14 @@
                 "cpu": cpu,
                 "memory_mib": site.gateway.memory_mib(),
                 "first_p95_ms": sorted(firsts)[int(len(firsts) * 0.95)] * 1e3,
-                "between_p95_ms": seen.get_value_at_percentile(95) / 1e3,
+                "between_p95_ms": token_gaps.get_value_at_percentile(95) / 1e3,
             }
         )
     return {"line": fit.line(points), "rows": rows}
 
 
 async def overhead(site: Site) -> dict[str, float]:
-    """First token and gaps through the gateway, less those of an engine."""
+    """Returns first token and gap latencies, direct and through the gateway."""
     results = {}
     for name, address in (
         ("direct", site.engine_address()),
@@ -167,8 +170,8 @@
     ):
         gaps, firsts = control_lib.histogram(), control_lib.histogram()
         for _ in range(60):
-            # One at a time, in step with nothing: an engine's step would
-            # otherwise hide a part of what is added.
+            # One stream at a time, not synchronized with the engine: waiting
+            # for an engine's step would hide part of the added latency.
             first = await stream(address, site.key, 4, gaps)
             firsts.record_value(int(first * 1e6))
         results[f"{name}_first_p50_ms"] = (
@@ -182,33 +185,39 @@
 
 
 async def requesting(site: Site) -> dict[str, Any]:
-    """Processor time against requests a second, one token each."""
+    """Returns processor time by requests a second, of one token each."""
     address = site.gateway.url.removeprefix("http://")
     points, rows = [], []
     for rate in (10, 20, 40, 80):
-        seen = control_lib.histogram()
+        token_gaps = control_lib.histogram()
         firsts = []
 
-        async def one(seen: Any = seen, firsts: Any = firsts) -> None:
-            firsts.append(await stream(address, site.key, 1, seen))
+        async def send_request(
+            token_gaps: Any = token_gaps, firsts: Any = firsts
+        ) -> None:
+            firsts.append(await stream(address, site.key, 1, token_gaps))
 
-        before = [h.cpu_seconds() for h in (site.gateway, site.control)]
-        begun, tasks, number = time.monotonic(), [], 0
-        while time.monotonic() - begun < 4.0:
-            due = int((time.monotonic() - begun) * rate)
-            tasks += [asyncio.create_task(one()) for _ in range(number, due)]
-            number = max(number, due)
+        cpu_before = [h.cpu_seconds() for h in (site.gateway, site.control)]
+        started_at, tasks, number = time.monotonic(), [], 0
+        while time.monotonic() - started_at < 4.0:
+            due_count = int((time.monotonic() - started_at) * rate)
+            tasks += [
+                asyncio.create_task(send_request())
+                for _ in range(number, due_count)
+            ]
+            number = max(number, due_count)
             await asyncio.sleep(0.005)
         await asyncio.gather(*tasks)
-        wall = time.monotonic() - begun
-        after = [h.cpu_seconds() for h in (site.gateway, site.control)]
+        elapsed = time.monotonic() - started_at
+        cpu_after = [h.cpu_seconds() for h in (site.gateway, site.control)]
         cpu, control_cpu = (
-            (b - a) / wall for a, b in zip(before, after, strict=True)
+            (b - a) / elapsed
+            for a, b in zip(cpu_before, cpu_after, strict=True)
         )
-        points.append((number / wall, cpu))
+        points.append((number / elapsed, cpu))
         rows.append(
             {
-                "requests_s": number / wall,
+                "requests_s": number / elapsed,
                 "cpu": cpu,
                 "control_cpu": control_cpu,
                 "first_p95_ms": sorted(firsts)[int(len(firsts) * 0.95)] * 1e3,
@@ -217,19 +226,19 @@
     return {"line": fit.line(points), "rows": rows}
 
 
-async def homing(site: Site) -> dict[str, Any]:
-    """Processor time of a gateway against targets that report to it."""
+async def receiving_reports(site: Site) -> dict[str, Any]:
+    """Returns processor time of a gateway by targets that report to it."""
     points, rows = [], []
     for targets in (0, 20, 40, 80):
         stop = asyncio.Event()
         tasks = [
-            asyncio.create_task(_reporter(site, n, stop))
+            asyncio.create_task(_report_periodically(site, n, stop))
             for n in range(targets)
         ]
         await asyncio.sleep(1.0)
-        before = site.gateway.cpu_seconds()
+        cpu_before = site.gateway.cpu_seconds()
         await asyncio.sleep(4.0)
-        cpu = (site.gateway.cpu_seconds() - before) / 4.0
+        cpu = (site.gateway.cpu_seconds() - cpu_before) / 4.0
         stop.set()
         await asyncio.gather(*tasks)
         points.append((float(targets), cpu))
@@ -237,7 +246,9 @@
     return {"line": fit.line(points), "rows": rows}
 
 
-async def _reporter(site: Site, number: int, stop: asyncio.Event) -> None:
+async def _report_periodically(
+    site: Site, number: int, stop: asyncio.Event
+) -> None:
     sequence = 0
     host, port = site.gateway.inner_url.removeprefix("http://").split(":")
     await asyncio.sleep(number / 80)
--- a/benchmarks/capacity/pure.py
+++ b/benchmarks/capacity/pure.py
@@ -1,4 +1,4 @@
-"""Slopes of decision code that needs no process: time and memory."""
+"""Time and memory of in-process code, against the size of its input."""
 
 from __future__ import annotations
 
@@ -18,29 +18,29 @@
 
 from capacity import fit
 
-_BEST_OF = 5
+_REPEATS = 5
 
 
-def _seconds(work: Any) -> float:
-    """Returns the least time of several runs: noise only ever adds."""
-    best = float("inf")
-    for _ in range(_BEST_OF):
+def _min_seconds(workload: Any) -> float:
+    """Returns the minimum time of several runs: noise only adds time."""
+    min_seconds = float("inf")
+    for _ in range(_REPEATS):
         gc.collect()
-        begun = time.perf_counter()
-        work()
-        best = min(best, time.perf_counter() - begun)
-    return best
+        started_at = time.perf_counter()
+        workload()
+        min_seconds = min(min_seconds, time.perf_counter() - started_at)
+    return min_seconds
 
 
-def _bytes(build: Any) -> tuple[int, Any]:
-    """Returns memory that `build()` leaves in use, and what it returned."""
+def _retained_bytes(build: Any) -> tuple[int, Any]:
+    """Returns the memory that `build()` leaves allocated, and its result."""
     gc.collect()
     tracemalloc.start()
-    kept = build()
+    result = build()
     gc.collect()
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return size, kept
+    return size, result
 
 
 def rules_text(models: int, teams: int = 5) -> str:
@@ -57,17 +57,17 @@
 
 
 def parsing() -> fit.Line:
-    """Seconds to read a rules text, against its lines."""
+    """Returns the seconds to parse a rules text, against its lines."""
     points = []
     for models in (50, 100, 200, 400):
         text = rules_text(models)
-        seconds = _seconds(lambda text=text: rules_lib.parse(text))
+        seconds = _min_seconds(lambda text=text: rules_lib.parse(text))
         points.append((float(len(text.splitlines())), seconds))
     return fit.line(points)
 
 
 def scheduling() -> fit.Line:
-    """Seconds for ask and release, against targets in the pool."""
+    """Returns the seconds to grant and release, against targets in the pool."""
     points = []
     for targets in (16, 64, 256, 650):
         scheduler = scheduler_lib.Scheduler()
@@ -76,7 +76,7 @@
                 scheduler_lib.Target(f"t{n}", frozenset(["m"]), 64, n % 9)
             )
 
-        def work(scheduler: scheduler_lib.Scheduler = scheduler) -> None:
+        def workload(scheduler: scheduler_lib.Scheduler = scheduler) -> None:
             for n in range(200):
                 ask = scheduler_lib.Ask(
                     str(n), f"team{n % 5}", 1, "m", 100, 1e9, frozenset()
@@ -86,12 +86,12 @@
                 scheduler.release(str(n), tokens=50)
                 scheduler.ready(0.0)
 
-        points.append((float(targets), _seconds(work) / 200))
+        points.append((float(targets), _min_seconds(workload) / 200))
     return fit.line(points)
 
 
 def bucket_memory() -> fit.Line:
-    """Bytes of a bucket, against its open charges."""
+    """Returns the bytes of a token bucket, against its open charges."""
     points = []
     for count in (1000, 2000, 4000, 8000):
 
@@ -102,12 +102,12 @@
                 bucket.charge(charge, now=0, deadline=0)
             return bucket
 
-        points.append((float(count), float(_bytes(build)[0])))
+        points.append((float(count), float(_retained_bytes(build)[0])))
     return fit.line(points)
 
 
 def call_memory() -> fit.Line:
-    """Bytes of call records with an answer of 200 bytes, against records."""
+    """Returns the bytes of call records with 200-byte responses, by count."""
     points = []
     for count in (1000, 2000, 4000, 8000):
 
@@ -140,12 +140,12 @@
                 )
             return state
 
-        points.append((float(count), float(_bytes(build)[0])))
+        points.append((float(count), float(_retained_bytes(build)[0])))
     return fit.line(points)
 
 
 def view_memory() -> fit.Line:
-    """Bytes of a gateway's configuration, against models."""
+    """Returns the bytes of a gateway's configuration, against models."""
     points = []
     for models in (50, 100, 200, 400):
 
@@ -167,12 +167,15 @@
             )
             return view
 
-        points.append((float(models), float(_bytes(build)[0])))
+        points.append((float(models), float(_retained_bytes(build)[0])))
     return fit.line(points)
 
 
 def planning() -> list[dict[str, float]]:
-    """Seconds of one plan for models x targets, from empty and when placed."""
+    """Returns the planning time for several numbers of models and targets.
+
+    Each is measured with no model placed and with all models placed.
+    """
     rows = []
     rng = random.Random(7)
     for models, targets in ((48, 81), (95, 162), (190, 325), (380, 650)):
@@ -206,7 +209,7 @@
                 most_new=10**6,
             )
 
-        empty = _seconds(plan)
+        empty_seconds = _min_seconds(plan)
         for index, load in enumerate(plan().loads, start=10_000):
             ledger.apply(
                 index,
@@ -221,8 +224,8 @@
             {
                 "models": models,
                 "targets": targets,
-                "empty_s": empty,
-                "placed_s": _seconds(plan),
+                "empty_s": empty_seconds,
+                "placed_s": _min_seconds(plan),
             }
         )
     return rows
--- a/benchmarks/crashes.py
+++ b/benchmarks/crashes.py
@@ -97,10 +97,10 @@
         assert done.returncode == 0, done.stderr
 
     def _gateway(
-        self, name: str, again: processes.Host | None = None
+        self, name: str, restart_of: processes.Host | None = None
     ) -> processes.Host:
         return processes.Host(
-            again=again,
+            restart_of=restart_of,
             folder=self._folder,
             name=name,
             domain="d",
@@ -119,8 +119,8 @@
         time.sleep(self._rng.uniform(0.0, 0.1))
         self.hosts()[name].kill()
         if name in self.gateways:
-            again = self.gateways[name]
-            self.gateways[name] = self._gateway(name, again)
+            restart_of = self.gateways[name]
+            self.gateways[name] = self._gateway(name, restart_of)
         else:
             self.control.restart(name)
         self.hosts()[name].wait_ready()
@@ -141,8 +141,8 @@
                 self.outcomes.responses[
                     f"{outcome} {error.get('type', '')}"
                 ] += 1
-            # An unknown outcome is not final at once: the host that runs the
-            # call may still complete it. So the order is sent again.
+            # An unknown outcome may still change: the host that runs the call
+            # may complete it. So the order is sent again.
             unknown += error.get("type") == "call_fate_unknown"
             if unknown > 2:
                 self._record("unknown", self.outcomes.unknown, name)
--- a/benchmarks/demo.py
+++ b/benchmarks/demo.py
@@ -93,7 +93,7 @@
 
 def _run(folder: pathlib.Path, started: list[processes.Process]) -> str:
     started_at = time.monotonic()
-    daemon = processes.Bare(folder=folder)
+    daemon = processes.StandaloneDaemon(folder=folder)
     started.append(daemon)
     url, inner = daemon.url, daemon.address
     gateway = f"--gateway=http://{inner}"
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -175,7 +175,7 @@
         )
 
 
-class Bare(Daemon):
+class StandaloneDaemon(Daemon):
     """An `endivestreamd` process without a settings file."""
 
     def __init__(self, *, folder: pathlib.Path) -> None:
@@ -201,9 +201,9 @@
         name: str = "local",
         domain: str = "local",
         control: Sequence[str] = (),
-        disk: bool | None = None,
+        has_replica: bool | None = None,
         address: str = "tcp://127.0.0.1:*",
-        again: Host | None = None,
+        restart_of: Host | None = None,
         more: str = "",
         more_peers: str = "",
     ) -> None:
@@ -214,21 +214,24 @@
             name: Name of the host.
             domain: Failure domain of the host.
             control: Addresses of the control hosts; empty to form a system.
-            disk: Whether the host has a replica of the log; None for a
+            has_replica: Whether the host has a replica of the log; None for a
                 replica if `control` is empty.
             address: Listening address of the control role.
-            again: Host to restart, or None for a new host. The restarted host
-                listens on the same HTTP addresses, because targets and
+            restart_of: Host to restart, or None for a new host. The restarted
+                host listens on the same HTTP addresses, because targets and
                 callers use them.
             more: Further sections of the settings file.
             more_peers: Further lines of the section `peers`.
         """
         http_addresses = ["127.0.0.1:0"] * 2
-        if again is not None:
-            http_addresses = [again.url.removeprefix("http://"), again.address]
+        if restart_of is not None:
+            http_addresses = [
+                restart_of.url.removeprefix("http://"),
+                restart_of.address,
+            ]
         self.data_folder = folder / name
-        disk = not control if disk is None else disk
-        data = f'data_folder = "{self.data_folder}"' if disk else ""
+        has_replica = not control if has_replica is None else has_replica
+        data = f'data_folder = "{self.data_folder}"' if has_replica else ""
         peers = f"control = {json.dumps(list(control))}" if control else ""
         settings = folder / f"{name}.toml"
         settings.write_text(
@@ -276,16 +279,16 @@
         name: str,
         control: Sequence[str] = (),
         address: str = "tcp://127.0.0.1:*",
-        again: Host | None = None,
+        restart_of: Host | None = None,
     ) -> Host:
         return Host(
             folder=self._folder,
             name=name,
             domain=f"domain-{name}",
             control=control,
-            disk=True,
+            has_replica=True,
             address=address,
-            again=again,
+            restart_of=restart_of,
             more=self._more,
             more_peers=self._more_peers,
         )
