--- a/packages/endivestream-cli/src/endivestream_cli/main.py
+++ b/packages/endivestream-cli/src/endivestream_cli/main.py
@@ -39,8 +39,8 @@
   endivestream voter list
   endivestream --output json status
 
-exit statuses: 0 done, 1 rejected, 2 wrong usage, 3 another change came first,
-4 no host answers, 5 accepted but not yet in force everywhere
+exit statuses: 0 done, 1 rejected, 2 wrong usage, 3 conflict with another
+change, 4 no host responds, 5 accepted but not yet in force everywhere
 """
 
 
@@ -64,75 +64,95 @@
     commands = parser.add_subparsers(dest="command", required=True)
     _add_rules(commands)
     _add_keys(commands)
-    target = commands.add_parser("target", help="targets and their drain")
+    target = commands.add_parser("target", help="list and drain targets")
     actions = target.add_subparsers(dest="action", required=True)
-    actions.add_parser("list", help="all announced targets")
-    drain = actions.add_parser("drain", help="give a target no new work")
+    actions.add_parser("list", help="list all announced targets")
+    drain = actions.add_parser(
+        "drain", help="stop sending new requests to a target"
+    )
     drain.add_argument("name")
-    drain.add_argument("--undo", action="store_true", help="give work again")
-    voter = commands.add_parser("voter", help="replicas of the log")
+    drain.add_argument(
+        "--undo",
+        action="store_true",
+        help="send new requests to the target again",
+    )
+    voter = commands.add_parser(
+        "voter", help="list and remove replicas of the log"
+    )
     actions = voter.add_subparsers(dest="action", required=True)
-    actions.add_parser("list", help="voters and learners")
-    remove = actions.add_parser("remove", help="take a lost replica out now")
-    remove.add_argument("name", help="host name, or start of the identity")
+    actions.add_parser("list", help="list voters and learners")
+    remove = actions.add_parser(
+        "remove", help="remove a failed replica immediately"
+    )
+    remove.add_argument("name", help="host name, or prefix of the identity")
     link_key = commands.add_parser(
-        "link-key", help="make a key pair for links between hosts"
+        "link-key", help="create a key pair for links between hosts"
     )
     link_key.add_argument("name", help="'system', or a host's name")
     link_key.add_argument("--folder", type=pathlib.Path, required=True)
-    commands.add_parser("models", help="models and their live copies")
-    commands.add_parser("status", help="the system in one view")
+    commands.add_parser(
+        "models", help="list models and the number of their live copies"
+    )
+    commands.add_parser("status", help="show a summary of the system")
     return parser
 
 
 def _add_rules(commands: Any) -> None:
-    rules = commands.add_parser("rules", help="the rules text")
+    rules = commands.add_parser(
+        "rules", help="check, compare, apply and show the rules"
+    )
     actions = rules.add_subparsers(dest="action", required=True)
     for name, text in (
-        ("check", "report every fault of a file; nothing is applied"),
+        ("check", "report all errors in a file without applying it"),
         ("diff", "compare a file with the rules in force"),
-        ("apply", "replace the rules by a file"),
+        ("apply", "replace the rules with those in a file"),
     ):
         action = actions.add_parser(name, help=text)
         action.add_argument("file", type=pathlib.Path)
         if name != "apply":
             continue
-        action.add_argument("--comment", default="", help="why, for history")
+        action.add_argument(
+            "--comment", default="", help="reason, for the history"
+        )
         action.add_argument(
             "--expected-version",
             type=int,
-            help="version the file was edited from (default: the present one)",
+            help="version the file was edited from (default: the current one)",
         )
         _add_change(action)
-    actions.add_parser("history", help="the last changes")
-    actions.add_parser("show", help="the rules in force")
+    actions.add_parser("history", help="list the most recent changes")
+    actions.add_parser("show", help="show the rules in force")
 
 
 def _add_keys(commands: Any) -> None:
-    key = commands.add_parser("key", help="callers' keys")
+    key = commands.add_parser(
+        "key", help="create, revoke and list callers' keys"
+    )
     actions = key.add_subparsers(dest="action", required=True)
-    create = actions.add_parser("create", help="make a key; shown once")
+    create = actions.add_parser(
+        "create", help="create a key; it is shown only once"
+    )
     create.add_argument("--label", required=True)
     create.add_argument("--team", required=True)
     _add_change(create)
-    revoke = actions.add_parser("revoke", help="withdraw a key for good")
+    revoke = actions.add_parser("revoke", help="revoke a key permanently")
     revoke.add_argument("label")
     _add_change(revoke)
-    actions.add_parser("list", help="all keys by label")
+    actions.add_parser("list", help="list all keys by label")
 
 
 def _add_change(action: argparse.ArgumentParser) -> None:
     action.add_argument(
         "--change-id",
         default=None,
-        help="send the same id again after a lost answer",
+        help="id of the change; reuse it to retry after a lost answer",
     )
     action.add_argument(
         "--wait",
         type=float,
         default=0.0,
         metavar="SECONDS",
-        help="return when the change is in force on every host",
+        help="how long to wait until the change is in force on every host",
     )
 
 
@@ -196,7 +216,7 @@
         error = answer.body.get("error", {})
         if self._arguments.output == "json":
             print(json.dumps(answer.body, indent=2))
-        for finding in error.get("findings", [f"status {answer.status}"]):
+        for finding in error.get("findings", [f"HTTP status {answer.status}"]):
             print(finding, file=sys.stderr)
         if answer.status == 0:
             return EXIT_UNREACHABLE
@@ -356,7 +376,11 @@
         )
         if answer.status != 200:
             return self._report_failure(answer)
-        state = "gets work" if self._arguments.undo else "gets no new work"
+        state = (
+            "receives new requests"
+            if self._arguments.undo
+            else "receives no new requests"
+        )
         self._print_result(answer.body, f"{self._arguments.name} {state}")
         return EXIT_OK
 
--- a/packages/endivestream/src/endivestream/process/daemon.py
+++ b/packages/endivestream/src/endivestream/process/daemon.py
@@ -267,29 +267,32 @@
 def _build_parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         prog="endivestreamd",
-        description="One host of endivestream.",
-        epilog="Without --settings it runs as a whole system on this host, "
-        f"keeping its state in ./{_DEFAULT_DATA_FOLDER}.",
+        description="Runs one host of endivestream.",
+        epilog="Without --settings, this host runs as a complete system and "
+        f"stores its state in ./{_DEFAULT_DATA_FOLDER}.",
     )
-    parser.add_argument("--settings", type=pathlib.Path, help="a TOML file")
     parser.add_argument(
-        "--check", action="store_true", help="check the settings and end"
+        "--settings", type=pathlib.Path, help="settings file, in TOML"
+    )
+    parser.add_argument(
+        "--check", action="store_true", help="check the settings and exit"
     )
     parser.add_argument(
         "--show-settings",
         action="store_true",
-        help="print all settings with default, unit and reason",
+        help="print all settings with default, unit and reason, and exit",
     )
     parser.add_argument(
         "--form",
         action="store_true",
-        help="form a new system: once, on the first of several control hosts",
+        help="form a new system; only once, on the first of several control "
+        "hosts",
     )
     parser.add_argument(
         "--stand-alone",
         action="store_true",
-        help="go on as the only voter after a majority of disks is lost for "
-        "good; read docs/operators/control-hosts.md first",
+        help="continue as the only voter after a majority of disks is "
+        "permanently lost; read docs/operators/control-hosts.md first",
     )
     parser.add_argument("--data-folder", help="overrides host.data_folder")
     parser.add_argument("--address", help="overrides http.address")
--- a/packages/endivestream/src/endivestream/process/metrics.py
+++ b/packages/endivestream/src/endivestream/process/metrics.py
@@ -34,35 +34,37 @@
         )
         self.first_token = prometheus_client.Histogram(
             "endivestream_first_token_seconds",
-            "From the request's head to its first token",
+            "Seconds from a request's head to its first token",
             buckets=_BUCKETS,
             registry=registry,
         )
         self.between_tokens = prometheus_client.Histogram(
             "endivestream_between_tokens_seconds",
-            "Between relayed events of one stream",
+            "Seconds between relayed events of a stream",
             buckets=_GAP_BUCKETS,
             registry=registry,
         )
         self.tokens = prometheus_client.Counter(
-            "endivestream_tokens", "Tokens relayed", registry=registry
+            "endivestream_tokens", "Generated tokens relayed", registry=registry
         )
         self.running = prometheus_client.Gauge(
-            "endivestream_running", "Requests that run", registry=registry
+            "endivestream_running",
+            "Running requests of callers",
+            registry=registry,
         )
         self.resumed = prometheus_client.Counter(
             "endivestream_resumed",
-            "Streams taken up on another target",
+            "Streams resumed on another target",
             registry=registry,
         )
         self.lease_left = prometheus_client.Gauge(
             "endivestream_lease_left_seconds",
-            "Left of the configuration lease",
+            "Seconds until the configuration lease expires",
             registry=registry,
         )
         self.version = prometheus_client.Gauge(
             "endivestream_configuration_version",
-            "Configuration version in force",
+            "Configuration version in force on this host",
             registry=registry,
         )
 
--- a/packages/endivestream/src/endivestream/process/settings.py
+++ b/packages/endivestream/src/endivestream/process/settings.py
@@ -30,10 +30,14 @@
 class Host:
     """Identity, location and storage of this process."""
 
-    name: str = _setting("local", "", "unique among hosts")
-    domain: str = _setting("local", "", "the failure domain it stands in")
+    name: str = _setting(
+        "local", "", "name of this host, unique among all hosts"
+    )
+    domain: str = _setting("local", "", "failure domain of this host")
     data_folder: str = _setting(
-        "", "folder", "holds the replicated log; empty on a host without disk"
+        "",
+        "folder",
+        "stores the replicated log; empty on a host without a disk",
     )
     log_level: str = _setting("INFO", "", "DEBUG, INFO, WARNING or ERROR")
 
@@ -46,20 +50,26 @@
     inner_address: str = _setting(
         "127.0.0.1:8081",
         "IP:PORT",
-        "operators and targets; never open to callers",
+        "listen address for operators and targets; never open to callers",
     )
     url: str = _setting(
-        "", "URL", "told to callers in /v1/addresses; empty: from address"
+        "", "URL", "sent to callers by /v1/addresses; empty: built from address"
+    )
+    max_header_bytes: int = _setting(
+        16384, "bytes", "maximum size of one request's head"
     )
-    max_header_bytes: int = _setting(16384, "bytes", "of one request's head")
     max_body_bytes: int = _setting(
-        8 * 1024 * 1024, "bytes", "of one request's body"
+        8 * 1024 * 1024, "bytes", "maximum size of one request's body"
     )
     idle_seconds: float = _setting(
-        60.0, "s", "a connection that sends no whole head for so long is closed"
+        60.0,
+        "s",
+        "a connection that completes no request head in this time is closed",
     )
     body_seconds: float = _setting(
-        30.0, "s", "a request that has sent no whole body is closed"
+        30.0,
+        "s",
+        "a request whose body is incomplete after this time is closed",
     )
 
 
@@ -80,7 +90,9 @@
     """Links between the hosts of the system."""
 
     address: str = _setting(
-        "tcp://127.0.0.1:8082", "tcp://IP:PORT", "listens, on a control host"
+        "tcp://127.0.0.1:8082",
+        "tcp://IP:PORT",
+        "listen address of a control host",
     )
     control: list[str] = _setting(
         [],
@@ -88,16 +100,18 @@
         "all control hosts; empty: this host is the only one",
     )
     voters: int = _setting(
-        3, "", "replicas of the log that vote; further ones are spares"
+        3,
+        "",
+        "replicas of the log that vote; all further replicas are learners",
     )
     replace_voter_seconds: float = _setting(
-        1800.0, "s", "a voter silent for so long is replaced by a spare"
+        1800.0, "s", "a voter silent for this time is replaced by a learner"
     )
     silence_seconds: float = _setting(
-        2.0, "s", "a link that says nothing for so long is opened anew"
+        2.0, "s", "a link without received frames for this time is replaced"
     )
     request_seconds: float = _setting(
-        2.0, "s", "an unanswered request to another host is given up"
+        2.0, "s", "timeout of a request to another host"
     )
 
 
@@ -106,11 +120,13 @@
     """Keys of links between hosts; `endivestream link-key` creates them."""
 
     system_file: str = _setting(
-        "", "file", "the system's key; its secret half on control hosts"
+        "",
+        "file",
+        "key of the system; on control hosts the file with the secret key",
     )
     host_file: str = _setting("", "file", "this host's secret key")
     allowed_folder: str = _setting(
-        "", "folder", "public keys of all hosts; on control hosts"
+        "", "folder", "public keys of all hosts; used on control hosts only"
     )
 
 
@@ -119,28 +135,36 @@
     """Times whose relations are checked; see `_Checker._check_relations`."""
 
     lease_seconds: float = _setting(
-        3.0, "s", "a gateway cut off for longer refuses new work"
+        3.0, "s", "a gateway without a renewal for longer refuses new requests"
     )
     watch_seconds: float = _setting(
-        0.5, "s", "how often a gateway renews its lease"
+        0.5, "s", "interval at which a gateway renews its lease"
     )
     host_silence_seconds: float = _setting(
-        2.0, "s", "a host not heard of leaves the address answer"
+        2.0, "s", "a host silent for longer is removed from the address list"
     )
     target_silence_seconds: float = _setting(
-        3.0, "s", "a target not heard of gets no new work"
+        3.0,
+        "s",
+        "a target without a report for longer receives no new requests",
+    )
+    report_seconds: float = _setting(
+        1.0, "s", "interval at which targets report"
     )
-    report_seconds: float = _setting(1.0, "s", "how often targets report")
     address_lifetime_seconds: float = _setting(
-        5.0, "s", "how long callers keep the address answer"
+        5.0, "s", "time for which callers cache the address list"
     )
     drain_margin_seconds: float = _setting(
-        1.0, "s", "added to the lifetime before a stopping host turns away"
+        1.0, "s", "added to the lifetime before a draining host stops listening"
     )
     election_seconds: float = _setting(
-        0.5, "s", "without a word of the leader before an election, at least"
+        0.5,
+        "s",
+        "minimum time without a message of the leader before an election",
+    )
+    plan_seconds: float = _setting(
+        0.5, "s", "interval between two placement plans"
     )
-    plan_seconds: float = _setting(0.5, "s", "how often placement is planned")
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -148,25 +172,37 @@
     """Limits of one request."""
 
     queue_seconds: float = _setting(
-        10.0, "s", "longest wait for a place, unless the caller says"
+        10.0,
+        "s",
+        "maximum wait for a target; Endivestream-Patience can shorten it",
     )
     credit_seconds: float = _setting(
-        1.0, "s", "longest wait for the team's credit, unless the caller says"
+        1.0,
+        "s",
+        "maximum wait for credit if a request has no Endivestream-Patience",
+    )
+    connect_seconds: float = _setting(
+        1.0, "s", "timeout for connecting to a target"
     )
-    connect_seconds: float = _setting(1.0, "s", "to reach a target")
     first_byte_seconds: float = _setting(
-        30.0, "s", "from sending to the head of the answer"
+        30.0, "s", "timeout from sending a request to the head of its answer"
     )
     stream_silence_seconds: float = _setting(
-        10.0, "s", "an engine's stream that says nothing is taken up elsewhere"
+        10.0,
+        "s",
+        "an engine's stream silent for longer is resumed on another engine",
+    )
+    service_seconds: float = _setting(
+        60.0, "s", "timeout for a service's complete answer"
+    )
+    attempts: int = _setting(
+        4, "", "maximum number of targets tried for one request"
     )
-    service_seconds: float = _setting(60.0, "s", "for a service's whole answer")
-    attempts: int = _setting(4, "", "targets tried for one request at most")
     retry_share: float = _setting(
-        0.2, "", "retries as a share of recent requests at most"
+        0.2, "", "maximum share of retries in recent requests"
     )
     bytes_per_token: int = _setting(
-        4, "bytes", "a prompt is charged one token for so many bytes"
+        4, "bytes", "number of prompt bytes that are charged as one token"
     )
 
 
@@ -174,8 +210,12 @@
 class WeightStore:
     """The load budget of the weight store, for all hosts together."""
 
-    loads_at_once: int = _setting(11, "", "model loads under way together")
-    loads_per_second: float = _setting(3.0, "1/s", "model loads started")
+    loads_at_once: int = _setting(
+        11, "", "maximum number of model loads in progress at a time"
+    )
+    loads_per_second: float = _setting(
+        3.0, "1/s", "maximum rate at which model loads are started"
+    )
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -241,7 +281,7 @@
         match = re.search(r"at line (\d+), column (\d+)", str(error))
         line, column = (int(n) for n in match.groups()) if match else (0, 0)
         place = findings.Place(source, line, column)
-        return [findings.Finding(place, f"not TOML: {error}")]
+        return [findings.Finding(place, f"invalid TOML: {error}")]
     checker = _Checker(text=text, source=source)
     settings = checker.settings(tables)
     if checker.all_findings:
@@ -315,12 +355,15 @@
             )
             self._report("host", "log_level", message)
         if not re.fullmatch(r"[A-Za-z0-9._-]+", host.name):
-            message = f"host.name = {host.name!r}: letters, digits, . _ - only"
+            message = (
+                f"host.name = {host.name!r}: expected only letters, digits, "
+                ". _ -"
+            )
             self._report("host", "name", message)
         if not settings.peers.control and not host.data_folder:
             message = (
-                "host.data_folder is needed where peers.control is empty: "
-                "this host holds the replicated log"
+                "host.data_folder is required when peers.control is empty: "
+                "this host stores the replicated log"
             )
             self._report("host", "data_folder", message)
         for key in ("address", "inner_address"):
@@ -336,8 +379,9 @@
         for key in ("operator", "target"):
             if not is_loopback and not getattr(settings.tokens, key):
                 message = (
-                    f"tokens.{key} is needed: http.inner_address "
-                    f"{settings.http.inner_address} is open to other hosts"
+                    f"tokens.{key} is required: http.inner_address "
+                    f"{settings.http.inner_address} is reachable from other "
+                    "hosts"
                 )
                 self._report("tokens", key, message)
         self._check_link_keys(settings)
@@ -360,7 +404,10 @@
             3 * timing.election_seconds + 2 * timing.watch_seconds,
         )
         if settings.peers.voters % 2 == 0:
-            message = f"peers.voters = {settings.peers.voters}: an odd number"
+            message = (
+                f"peers.voters = {settings.peers.voters}: expected an odd "
+                "number"
+            )
             self._report("peers", "voters", message)
         # A broken link must be reopened before the lease expires.
         self._check_at_least(
@@ -390,15 +437,17 @@
         present = [name for name in required if getattr(keys, name)]
         for name in required:
             if present and name not in present:
-                message = f"link_keys.{name} is needed beside {present[0]}"
+                message = (
+                    f"link_keys.{name} is required because {present[0]} is set"
+                )
                 self._report("link_keys", name, message)
         # Without link keys, anyone who can connect to this address could
         # become the leader, place models and read the digests of all keys.
         is_loopback = settings.peers.address.startswith("tcp://127.")
         if settings.is_control and not is_loopback and not present:
             message = (
-                f"link_keys are needed: peers.address {settings.peers.address} "
-                "is open to other hosts"
+                f"link_keys are required: peers.address "
+                f"{settings.peers.address} is reachable from other hosts"
             )
             self._report("link_keys", "system_file", message)
 
--- a/packages/endivestream/src/endivestream/process/site_metrics.py
+++ b/packages/endivestream/src/endivestream/process/site_metrics.py
@@ -49,12 +49,12 @@
     def _add_loop_metrics(self, meter: loop_meter.LoopMeter) -> None:
         self._gauge(
             "loop_late_seconds",
-            "Lateness of the event loop at the last look",
+            "Lateness of the event loop at the last check, in seconds",
             lambda: meter.late,
         )
         self._gauge(
             "loop_latest_seconds",
-            "Greatest lateness of the event loop since the start",
+            "Maximum lateness of the event loop since the process started",
             lambda: meter.latest,
         )
         self._registry.register(_LoopWorkCollector(meter=meter))
@@ -73,17 +73,23 @@
     def collect(self) -> Iterator[core.Metric]:
         """Yields the current values."""
         count = core.CounterMetricFamily(
-            "endivestream_work", "Messages and other work", labels=["kind"]
+            "endivestream_work",
+            "Messages and other units of work",
+            labels=["kind"],
         )
         size = core.CounterMetricFamily(
-            "endivestream_work_bytes", "Bytes of messages", labels=["kind"]
+            "endivestream_work_bytes",
+            "Size of messages in bytes",
+            labels=["kind"],
         )
         seconds = core.CounterMetricFamily(
-            "endivestream_work_seconds", "Time of the loop", labels=["kind"]
+            "endivestream_work_seconds",
+            "Time spent by the event loop",
+            labels=["kind"],
         )
         longest = core.GaugeMetricFamily(
             "endivestream_work_longest_seconds",
-            "Longest uninterrupted run of the loop",
+            "Longest uninterrupted run of the event loop, in seconds",
             labels=["kind"],
         )
         for kind, tally in self._meter.tallies.items():
@@ -104,7 +110,7 @@
         """Yields the current values."""
         sends = core.CounterMetricFamily(
             "endivestream_limited_sends",
-            "Sends to targets that name a limit",
+            "Sends to targets that report a rate limit",
             labels=["outcome"],
         )
         for outcome, count in self._outcomes().items():
@@ -146,30 +152,44 @@
         )
         self._sends = prometheus_client.Counter(
             "endivestream_sends",
-            "Attempts with targets",
+            "Requests sent to targets, including retries",
             ["kind"],
             registry=self._registry,
         )
         self._waited = self._histogram(
-            "waited_seconds", "Until a request was first sent", _BUCKETS
+            "waited_seconds",
+            "Seconds until a request was first sent to a target",
+            _BUCKETS,
         )
         self._first = self._histogram(
-            "first_byte_seconds", "Until the first byte of the answer", _BUCKETS
+            "first_byte_seconds",
+            "Seconds until the first byte of the answer",
+            _BUCKETS,
         )
         self._total = self._histogram(
-            "request_seconds", "Until the end of a request", _BUCKETS
+            "request_seconds", "Seconds until the end of a request", _BUCKETS
         )
         self._gap = self._histogram(
             "stream_pause_seconds",
-            "Longest pause of a stream",
+            "Longest pause between two chunks of a stream, in seconds",
             _PAUSE_BUCKETS,
         )
-        self._gauge("running", "Requests that run", running)
-        self._gauge("configuration_version", "Version in force", version)
-        self._gauge("lease_left_seconds", "Left of the lease", lease)
-        self._gauge("targets", "Targets that are known", targets)
+        self._gauge("running", "Running requests", running)
         self._gauge(
-            "rate_limited_targets", "Targets that name a limit", rate_limited
+            "configuration_version",
+            "Configuration version in force on this host",
+            version,
+        )
+        self._gauge(
+            "lease_left_seconds",
+            "Seconds until the configuration lease expires",
+            lease,
+        )
+        self._gauge("targets", "Known targets", targets)
+        self._gauge(
+            "rate_limited_targets",
+            "Targets that report a rate limit",
+            rate_limited,
         )
         self._registry.register(_LimitedSendsCollector(outcomes=limited_sends))
         self._add_loop_metrics(meter)
@@ -215,11 +235,19 @@
             meter: The meter of the event loop.
         """
         super().__init__()
-        self._gauge("leads", "1 if this host leads", leads)
+        self._gauge("leads", "1 if this host is the leader, else 0", leads)
         self._gauge("log_term", "Term of the log", term)
-        self._gauge("log_applied_index", "Last entry applied", index)
-        self._gauge("configuration_version", "Newest version held", version)
-        self._gauge("departed_targets", "Targets that left", departed)
+        self._gauge(
+            "log_applied_index",
+            "Index of the last applied entry of the log",
+            index,
+        )
+        self._gauge(
+            "configuration_version",
+            "Newest configuration version on this host",
+            version,
+        )
+        self._gauge("departed_targets", "Recorded departed targets", departed)
         self._gauge(
             "unplaced_models",
             "Models that requests wait for and that are not being loaded",
--- a/packages/endivestream/src/endivestream/process/site_settings.py
+++ b/packages/endivestream/src/endivestream/process/site_settings.py
@@ -174,6 +174,6 @@
         3 * settings.address_seconds,
     )
     if not settings.controls:
-        message = "no address of a control host is given"
+        message = "no address of a control host is configured"
         found.append(findings.Finding(findings.Place("controls"), message))
     return found
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -43,12 +43,12 @@
             '[http]\ninner_address = "10.0.0.1:8081"\n'
         )
         self.assertEqual(len(found), 2)
-        self.assertIn("tokens.operator is needed", found[0])
+        self.assertIn("tokens.operator is required", found[0])
 
     def test_syntax_error_is_reported_with_line_and_column(self):
         """Guards against syntax errors that are reported without a place."""
         (found,) = self._findings("[host\n")
-        self.assertTrue(found.startswith("s.toml:1:6: not TOML"), found)
+        self.assertTrue(found.startswith("s.toml:1:6: invalid TOML"), found)
 
 
 class LogsTest(unittest.TestCase):
