--- a/packages/endivestream/src/endivestream/process/entry.py
+++ b/packages/endivestream/src/endivestream/process/entry.py
@@ -360,7 +360,11 @@
                 return self._turn_desk.answer(message)
             case site_messages.Follow():
                 return self._push_relay.answer(peer, message)
-        logs.warn("unexpected", message=type(message).__name__, peer=peer.hex())
+        logs.warn(
+            "unexpected_message",
+            message=type(message).__name__,
+            peer=peer.hex(),
+        )
         return None
 
     def _apply_renewal(self, renewed: site_messages.Renewed) -> None:
--- a/packages/endivestream/src/endivestream/process/leading.py
+++ b/packages/endivestream/src/endivestream/process/leading.py
@@ -239,7 +239,7 @@
             case messages.DrainTarget(name=name, draining=draining):
                 return self._drain_target(name, draining)
             case _:
-                logs.warn("unexpected", message=type(message).__name__)
+                logs.warn("unexpected_message", message=type(message).__name__)
         return None
 
     def _drain_target(self, name: str, draining: bool) -> messages.Known:
--- a/packages/endivestream/src/endivestream/process/push_relay.py
+++ b/packages/endivestream/src/endivestream/process/push_relay.py
@@ -180,7 +180,7 @@
         match answer:
             case site_messages.Following(relays=relays):
                 return relays
-        logs.warn("unexpected", message=type(answer).__name__)
+        logs.warn("unexpected_message", message=type(answer).__name__)
         return False
 
     def _set_relay(self, name: str) -> None:
--- a/packages/endivestream/src/endivestream/process/site_leading.py
+++ b/packages/endivestream/src/endivestream/process/site_leading.py
@@ -238,7 +238,7 @@
                 self._steward.join(member)
                 return messages.Noted()
             case _:
-                logs.warn("unexpected", message=type(message).__name__)
+                logs.warn("unexpected_message", message=type(message).__name__)
         return None
 
     def _grant_retry(
--- a/packages/endivestream/src/endivestream/process/turn_desk.py
+++ b/packages/endivestream/src/endivestream/process/turn_desk.py
@@ -109,7 +109,7 @@
         match answer:
             case site_messages.GiveTurn(seconds=seconds):
                 return seconds
-        logs.warn("unexpected", message=type(answer).__name__)
+        logs.warn("unexpected_message", message=type(answer).__name__)
         return 0.0
 
     def answer(self, message: site_messages.AskTurn) -> site_messages.GiveTurn:
