--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -123,7 +123,7 @@
     """Prints one line per result, with the value of an earlier run."""
     earlier_items = earlier if isinstance(earlier, dict) else {}
     if isinstance(value, dict) and value.get("kind") == "line":
-        text = f"{value['slope']:.3g} +- {value['error']:.1g} a unit, "
+        text = f"{value['slope']:.3g} +- {value['error']:.1g} per unit, "
         text += f"{value['intercept']:.3g} at zero"
         if "slope" in earlier_items:
             text += f" (earlier {earlier_items['slope']:.3g})"
@@ -152,7 +152,10 @@
     parser.add_argument("--output", type=pathlib.Path, required=True)
     parser.add_argument("--compare", type=pathlib.Path)
     parser.add_argument(
-        "--only", action="append", choices=_SECTIONS, help="may be repeated"
+        "--only",
+        action="append",
+        choices=_SECTIONS,
+        help="section to measure; may be repeated",
     )
     arguments = parser.parse_args()
     logger.remove()  # The benchmark's own links log when they change peers.
--- a/benchmarks/daylog/__main__.py
+++ b/benchmarks/daylog/__main__.py
@@ -29,7 +29,9 @@
     parser.add_argument(
         "--seconds", type=float, default=2.0, help="width of a row, in seconds"
     )
-    parser.add_argument("--csv", type=pathlib.Path, help="folder to write to")
+    parser.add_argument(
+        "--csv", type=pathlib.Path, help="folder for the CSV files"
+    )
     options = parser.parse_args()
     text = options.log.read_text(encoding="utf-8", errors="replace")
     lines = lines_lib.parse(text.splitlines())
--- a/benchmarks/demo.py
+++ b/benchmarks/demo.py
@@ -126,7 +126,8 @@
     )
     tokens, complete = _stream(url, key, "brass-trumpets")
     _check(
-        tokens == 24 and complete, f"{tokens} tokens streamed, whole={complete}"
+        tokens == 24 and complete,
+        f"{tokens} tokens streamed, complete={complete}",
     )
 
     name = str(uuid.uuid4())
@@ -135,11 +136,12 @@
     _check(first[0] == 200 and not first[2], f"order ran: {first[1].decode()}")
     _check(
         second[0] == 200 and second[2] and second[1] == first[1],
-        "the resent order got the stored answer and did not run again",
+        "the retried order received the stored answer and did not run again",
     )
     third = _send_order(url, key, str(uuid.uuid4()))
     _check(
-        json.loads(third[1])["run"] == 2, "another order is the service's 2nd"
+        json.loads(third[1])["run"] == 2,
+        "the next order is the 2nd that the service ran",
     )
 
     _operate(inner, "key", "revoke", "bench-1", "--wait", "10")
@@ -157,7 +159,7 @@
     _check(daemon.stop() == 0, "graceful shutdown, exit status 0")
     seconds = time.monotonic() - started_at
     return (
-        f"saw {tokens} tokens, 2 orders run, 1 replayed, 1 key refused, "
+        f"received {tokens} tokens, 2 orders run, 1 replayed, 1 key refused, "
         f"{seconds:.1f} s"
     )
 
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -29,7 +29,7 @@
         if value:
             return value
         time.sleep(0.02)
-    raise TimeoutError(f"{what}: not within {seconds} s")
+    raise TimeoutError(f"{what}: timed out after {seconds} s")
 
 
 def fetch(
@@ -158,7 +158,7 @@
 
     def _read_started_fields(self) -> dict[str, str]:
         if self.process.poll() is not None:
-            raise RuntimeError(f"{self.name} ended:\n{self.log.read_text()}")
+            raise RuntimeError(f"{self.name} exited:\n{self.log.read_text()}")
         text = self.log.read_bytes()[self._log_start :].decode()
         for line in text.splitlines():
             if " event=started " in line:
