--- a/packages/endivestream/src/endivestream/connection/leader_link.py
+++ b/packages/endivestream/src/endivestream/connection/leader_link.py
@@ -140,7 +140,7 @@
             link = self._link
             assert link is not None, "not started"
             remaining = deadline - time.monotonic()
-            reason = "no time left"
+            reason = "the request timed out"
             if remaining > 0:
                 try:
                     answer = await link.request(
--- a/packages/endivestream/src/endivestream/connection/link_keys.py
+++ b/packages/endivestream/src/endivestream/connection/link_keys.py
@@ -76,7 +76,7 @@
     system_public, system_secret = _read(system_file)
     host_public, host_secret = _read(host_file)
     if host_secret is None:
-        raise OSError(f"{host_file}: holds no secret key")
+        raise OSError(f"{host_file}: contains no secret key")
     return LinkKeys(system_public, system_secret, host_public, host_secret)
 
 
--- a/packages/endivestream/src/endivestream/messages.py
+++ b/packages/endivestream/src/endivestream/messages.py
@@ -483,8 +483,10 @@
     try:
         plain = unpacker.decompress(data, _MOST_BYTES)
     except zlib.error as error:
-        raise msgspec.DecodeError(f"bad packed frame: {error}") from error
+        raise msgspec.DecodeError(
+            f"invalid compressed frame: {error}"
+        ) from error
     if not unpacker.eof:
         # Truncated, or larger than `_MOST_BYTES`.
-        raise msgspec.DecodeError("packed frame without its end")
+        raise msgspec.DecodeError("compressed frame is truncated or too large")
     return plain
--- a/packages/endivestream/src/endivestream/process/gateway.py
+++ b/packages/endivestream/src/endivestream/process/gateway.py
@@ -345,7 +345,7 @@
         except links.LinkDownError as error:
             return messages.Refused(
                 reason="control_unreachable",
-                detail=f"no control leader answers ({error})",
+                detail=f"no leader of the control hosts responds ({error})",
                 retry_after=_LINK_RETRY_AFTER_SECONDS,
             )
 
--- a/packages/endivestream/src/endivestream/process/limiter.py
+++ b/packages/endivestream/src/endivestream/process/limiter.py
@@ -100,7 +100,7 @@
         if bucket is None:
             return messages.Refused(
                 reason="unknown_team",
-                detail=f"team {message.team!r} is not in the rules",
+                detail=f"team {message.team!r} is not defined in the rules",
                 retry_after=-1,
             )
         started_at = _now_us()
@@ -127,7 +127,7 @@
             case buckets.TooLate(seconds=seconds):
                 return messages.Refused(
                     reason="over_rate",
-                    detail="the team is over its rate; its credit for this "
+                    detail="the team exceeded its rate; credit for this "
                     f"request is available in {seconds:.1f} s",
                     retry_after=seconds,
                 )
--- a/packages/endivestream/src/endivestream/process/steward.py
+++ b/packages/endivestream/src/endivestream/process/steward.py
@@ -102,7 +102,7 @@
             ]
             return findings.unknown_word("voter", name, valid)
         if found[0].identity == self._replicator.identity:
-            return f"{name!r} leads at the moment; stop it first"
+            return f"{name!r} is the leader; stop it first"
         self._to_remove.add(found[0].identity)
         return ""
 
--- a/packages/endivestream/src/endivestream/request/admission.py
+++ b/packages/endivestream/src/endivestream/request/admission.py
@@ -95,7 +95,7 @@
     key = _parse_key(call.headers.get("Authorization", ""), names.key_scheme)
     owner = table.owner(route, key)
     if owner is None:
-        detail = "this key is not known"
+        detail = "this key is unknown"
         return findings.not_run("unknown_key", detail, status=401)
     request = call.headers.get(names.request, "")
     service = table.service(routes_lib.pick_service(route, request))
@@ -122,7 +122,7 @@
 
 def stopping() -> findings.Failure:
     """Returns the refusal of a host that stops before the request ends."""
-    detail = "this host is about to stop"
+    detail = "this host is stopping"
     return findings.not_run(
         "stopping", detail, status=503, retry_after=_OTHER_HOST_RETRY_SECONDS
     )
@@ -130,7 +130,7 @@
 
 def no_lease() -> findings.Failure:
     """Returns the refusal of a host without a valid configuration lease."""
-    detail = "this host has no current configuration"
+    detail = "this host has no valid configuration lease"
     return findings.not_run(
         NO_LEASE, detail, status=503, retry_after=COME_BACK_SECONDS
     )
@@ -138,7 +138,7 @@
 
 def unconfirmed() -> findings.Failure:
     """Returns the refusal of a host whose configuration may be outdated."""
-    detail = "no leader confirms this host's configuration"
+    detail = "no leader has confirmed this host's configuration"
     return findings.not_run(
         "unconfirmed", detail, status=503, retry_after=COME_BACK_SECONDS
     )
--- a/packages/endivestream/src/endivestream/request/forward.py
+++ b/packages/endivestream/src/endivestream/request/forward.py
@@ -244,7 +244,7 @@
         )
         if retry_after is None:
             return None
-        detail = f"team {work.team.name} is over its rate"
+        detail = f"team {work.team.name} exceeded its rate"
         return findings.not_run(
             "over_rate", detail, status=429, retry_after=retry_after
         )
--- a/packages/endivestream/src/endivestream/request/relay.py
+++ b/packages/endivestream/src/endivestream/request/relay.py
@@ -293,7 +293,8 @@
             # An event of another attempt or caller. Relaying it would disclose
             # another caller's answer.
             return _AttemptFailed(
-                cause=f"event of attempt {attempt!r}", sent=True
+                cause=f"received an event of another attempt, {attempt!r}",
+                sent=True,
             )
         if first <= last <= self._tokens:
             return None  # Already relayed by an earlier attempt.
--- a/packages/endivestream/src/endivestream/request/service_calls.py
+++ b/packages/endivestream/src/endivestream/request/service_calls.py
@@ -105,7 +105,7 @@
             return findings.not_run(
                 "idempotency_key_needed",
                 f"service {self._service.name!r} is not idempotent: send an "
-                "Idempotency-Key header, the same one when you resend",
+                "Idempotency-Key header, the same one with each retry",
                 status=400,
             )
         if len(self._call.key) > _MAX_KEY_CHARACTERS or "\0" in self._call.key:
@@ -282,8 +282,8 @@
     if not same:
         return findings.not_run(
             "idempotency_conflict",
-            "this Idempotency-Key was used for another call; this one did "
-            "not run",
+            "this Idempotency-Key was already used for another call; this "
+            "call did not run",
             status=409,
         )
     if record.state == "done":
@@ -298,8 +298,8 @@
         return findings.Failure(
             outcome=findings.Outcome.UNKNOWN,
             reason="call_running",
-            detail="an earlier send of this call is still running; retry later "
-            "for its answer",
+            detail="an earlier attempt of this call is still running; retry "
+            "later to receive its answer",
             status=409,
             retry_after=1.0,
         )
@@ -322,7 +322,7 @@
         )
     return findings.not_run(
         "idempotency_key_without_time",
-        "too many Idempotency-Keys without a time are remembered; use a UUID "
+        "too many Idempotency-Keys without a time are stored; use a UUID "
         "of version 7 or a key that starts with Unix seconds and '-'",
         status=400,
     )
--- a/packages/endivestream/src/endivestream/request/sse.py
+++ b/packages/endivestream/src/endivestream/request/sse.py
@@ -45,7 +45,7 @@
         *blocks, self._incomplete = buffer.split(b"\n\n")
         if len(self._incomplete) > LONGEST_EVENT_BYTES:
             raise TooLongError(
-                f"{len(self._incomplete)} bytes without an event end"
+                f"{len(self._incomplete)} bytes without the end of an event"
             )
         return [_parse_event(block) for block in blocks if block]
 
@@ -102,6 +102,6 @@
         *blocks, self._incomplete = (self._incomplete + chunk).split(b"\n\n")
         if len(self._incomplete) > LONGEST_EVENT_BYTES:
             raise TooLongError(
-                f"{len(self._incomplete)} bytes without an event end"
+                f"{len(self._incomplete)} bytes without the end of an event"
             )
         return [RawEvent(_parse_event(b).id, b + b"\n\n") for b in blocks]
--- a/packages/endivestream/src/endivestream/version/configuration.py
+++ b/packages/endivestream/src/endivestream/version/configuration.py
@@ -267,7 +267,8 @@
             if previous.fingerprint == content_digest:
                 return Applied(version=previous.version, repeated=True)
             message = (
-                f"change id {command.change_id!r} was used for other content"
+                f"change id {command.change_id!r} was already used for another "
+                "change"
             )
             return Rejected(findings=[message])
         match command:
@@ -349,7 +350,7 @@
             if record is not None and record.revoked:
                 errors.append(
                     f"key {key.label!r}: this digest was withdrawn as "
-                    f"{record.label!r} and cannot come back"
+                    f"{record.label!r} and cannot be used again"
                 )
             elif record is not None and record.team != key.team:
                 errors.append(
--- a/packages/endivestream/src/endivestream/version/document.py
+++ b/packages/endivestream/src/endivestream/version/document.py
@@ -260,7 +260,8 @@
         )
         if other is not route:
             message = (
-                f"{route.host}{route.prefix} is also that of {other.name!r}"
+                f"{route.host}{route.prefix} is also the location of "
+                f"{other.name!r}"
             )
             errors.append(findings.Finding(place, message))
     return errors + _check_keys(document.teams)
@@ -273,11 +274,11 @@
         if choice.service not in services
     ]
     if sum(choice.weight for choice in route.choices) <= 0:
-        errors.append("the weights of its services add up to 0")
+        errors.append("the weights of its services must add up to more than 0")
     if any(choice.weight < 0 for choice in route.choices):
-        errors.append("a weight is below 0")
+        errors.append("a service has a weight below 0")
     if route.timeout <= 0:
-        errors.append(f"timeout {route.timeout:g} s; it must be above 0")
+        errors.append(f"timeout is {route.timeout:g} s; it must be above 0")
     if not (route.prefix.startswith("/") and route.prefix.endswith("/")):
         errors.append(
             f"prefix {route.prefix!r} must begin and end with a slash"
--- a/packages/endivestream/src/endivestream/version/ledger.py
+++ b/packages/endivestream/src/endivestream/version/ledger.py
@@ -197,7 +197,7 @@
             return Refused(reason=f"unknown target {command.target!r}")
         if target.incarnation != command.incarnation:
             return Refused(
-                reason=f"incarnation {command.incarnation} is not the present "
+                reason=f"incarnation {command.incarnation} is not the current "
                 f"one, {target.incarnation}"
             )
         return target
@@ -211,8 +211,9 @@
             return Reserved(fence=entry.fence)
         if target.held + command.memory > target.memory:
             return Refused(
-                reason=f"{target.held} MiB held + {command.memory} MiB for "
-                f"{command.model!r} > {target.memory} MiB"
+                reason=f"{target.held} MiB loaded or reserved + "
+                f"{command.memory} MiB for {command.model!r} exceed "
+                f"{target.memory} MiB"
             )
         target.entries[command.model] = Entry(command.memory, False, index)
         return Reserved(fence=index)
--- a/packages/endivestream/src/endivestream/version/replicate.py
+++ b/packages/endivestream/src/endivestream/version/replicate.py
@@ -383,7 +383,7 @@
                 pending.future.set_result(result)
             else:
                 pending.future.set_exception(
-                    LostError("replaced by an entry of another leader")
+                    LostError("the entry was replaced by one of another leader")
                 )
 
     def _compact(self) -> None:
@@ -411,7 +411,7 @@
                 leader=replica.leader[:8],
             )
         if replica.role != consensus.Role.LEADER and self._pending:
-            self._fail_pending(LostError("leadership was lost"))
+            self._fail_pending(LostError("this host is no longer the leader"))
         if replica.ready != self._reported_ready:
             self._reported_ready = replica.ready
             self._on_role(self._reported_ready)
--- a/packages/endivestream/src/endivestream/version/rules.py
+++ b/packages/endivestream/src/endivestream/version/rules.py
@@ -218,7 +218,8 @@
             return None
         if not comment:
             self._add_finding(
-                start, "no comment that names who asked ('# name')"
+                start,
+                "a comment that names the requester is missing ('# name')",
             )
         try:
             unquoted = shlex.split(rule)
@@ -234,7 +235,7 @@
             )
             return None
         if len(words) < 2:
-            self._add_finding(place, f"{kind!r} needs a name after it")
+            self._add_finding(place, f"{kind!r} must be followed by a name")
             return None
         place, name = words[1]
         if not _NAME_PATTERN.match(name):
@@ -246,7 +247,8 @@
         if kind == "allow":
             if len(words) < 3:
                 self._add_finding(
-                    place, "'allow' needs at least one name to allow"
+                    place,
+                    "'allow' requires at least one model, adapter or service",
                 )
             return _ParsedLine(kind, name, {}, words)
         options = self._parse_options(kind, words[1][0], words[2:])
@@ -303,7 +305,7 @@
                 if valid:
                     self._add_finding(
                         name_place,
-                        f"{kind!r} needs {name}=, {option.expected}",
+                        f"{kind!r} requires {name}=, {option.expected}",
                     )
                 valid = False
             values[name] = option.default
--- a/packages/endivestream/src/endivestream/version/storage.py
+++ b/packages/endivestream/src/endivestream/version/storage.py
@@ -217,8 +217,8 @@
             if entry is None:
                 if _has_valid_entry_after(raw, offset):
                     raise CorruptError(
-                        f"{path}: damaged entry at offset {offset} with valid "
-                        "entries after it"
+                        f"{path}: damaged entry at offset {offset}, followed "
+                        "by valid entries"
                     )
                 os.ftruncate(self._log_fd, offset)
                 os.fsync(self._log_fd)
@@ -238,7 +238,7 @@
         if entry.index != expected:
             raise CorruptError(
                 f"{path}: entry {entry.index} at offset {offset}, "
-                f"expected {expected}"
+                f"expected entry {expected}"
             )
 
     def append(self, entries: Sequence[Entry]) -> None:
