--- a/benchmarks/capacity/pure.py
+++ b/benchmarks/capacity/pure.py
@@ -205,8 +205,8 @@
                 rules,
                 ledger.targets,
                 live=live,
-                most_loads=10**6,
-                most_new=10**6,
+                max_loads=10**6,
+                max_new=10**6,
             )
 
         empty_seconds = _min_seconds(plan)
--- a/packages/endivestream/src/endivestream/process/demand_table.py
+++ b/packages/endivestream/src/endivestream/process/demand_table.py
@@ -90,9 +90,11 @@
             if key[0] == service and key[2] and entry.waiting
         }
 
-    def wants(self, service: str, now: float) -> dict[str, plan_types.Want]:
+    def demands(
+        self, service: str, now: float
+    ) -> dict[str, plan_types.ModelDemand]:
         """Returns the demand for each model of a service."""
-        wants: dict[str, plan_types.Want] = {}
+        demands: dict[str, plan_types.ModelDemand] = {}
         for key, entry in list(self._entries.items()):
             if key[0] != service:
                 continue
@@ -100,18 +102,20 @@
                 # Callers can name any model; names without demand are removed.
                 del self._entries[key]
                 continue
-            total = wants.get(key[1], plan_types.Want(0.0, 0, math.inf))
+            total = demands.get(
+                key[1], plan_types.ModelDemand(0.0, 0, math.inf)
+            )
             unserved = 0.0
             if entry.waiting:
                 held_at = self._held_at.get((service, key[1], ""), -math.inf)
                 unserved = min(self._unserved(key, now), now - held_at)
-            wants[key[1]] = plan_types.Want(
+            demands[key[1]] = plan_types.ModelDemand(
                 total.rate + sum(entry.rates.values()),
                 total.waiting + sum(entry.waiting.values()),
-                min(total.objective, entry.objective or 1.0),
-                max(total.unserved, unserved),
+                min(total.objective_seconds, entry.objective or 1.0),
+                max(total.unserved_seconds, unserved),
             )
-        return wants
+        return demands
 
     def _unserved(self, key: Key, now: float) -> float:
         """Returns for how many seconds a model or adapter was unserved.
--- a/packages/endivestream/src/endivestream/process/placer.py
+++ b/packages/endivestream/src/endivestream/process/placer.py
@@ -41,7 +41,7 @@
         self._loads_at_once = loads_at_once
         # A new leader starts with one load, because it has no record of the
         # loads that the previous leader started within the last second.
-        self._load_rate = placement.Pace(
+        self._load_rate = placement.LoadRateLimiter(
             rate=loads_per_second, now=time.monotonic()
         )
         self._sent_at: dict[tuple[str, int, str], float] = {}
@@ -89,10 +89,10 @@
             state.configuration.rules.models,
             state.ledger.targets,
             live=engines,
-            most_loads=self._loads_at_once,
-            most_new=self._load_rate.allowed(now),
+            max_loads=self._loads_at_once,
+            max_new=self._load_rate.available(now),
         )
-        self._load_rate.started(len(plan.loads))
+        self._load_rate.take(len(plan.loads))
         for load in plan.loads:
             await self._commit_intent(load)
         self._report_unplaced(plan.unplaced)
--- a/packages/endivestream/src/endivestream/process/planner.py
+++ b/packages/endivestream/src/endivestream/process/planner.py
@@ -319,9 +319,9 @@
                 self._servable_keys(service, workers.values()), now
             )
             planned = plan_lib.plan(
-                engine=engine,
-                places=[self._describe_engine(w) for w in workers.values()],
-                wants=self._demand.wants(service, now),
+                capacity=engine,
+                engines=[self._describe_engine(w) for w in workers.values()],
+                demands=self._demand.demands(service, now),
                 store_loads=self._allowed_store_loads(engine, now),
                 complete=self._is_table_complete,
             )
@@ -378,13 +378,13 @@
 
     def _describe_engine(
         self, worker: worker_lib.EngineWorker
-    ) -> plan_types.Place:
+    ) -> plan_types.EngineState:
         name = worker.registration.name
-        return plan_types.Place(
+        return plan_types.EngineState(
             target=name,
             domain=worker.registration.domain,
             loaded=tuple(sorted(worker.models - worker.closing)),
-            coming="" if self._is_stuck(worker) else worker.loading,
+            loading="" if self._is_stuck(worker) else worker.loading,
             busy=worker.step is not None or clock.now() < worker.blocked_until,
             usable=not worker.registration.draining
             and name not in self._silent_targets
@@ -392,10 +392,11 @@
             in_memory=worker.registration.in_memory,
             on_disk=worker.registration.on_disk,
             running=self._uses.running(name),
-            is_home=worker.step is not None and worker.step.reason == "home",
+            is_disk_copy_load=worker.step is not None
+            and worker.step.reason == "home",
             is_overdue=worker.step is not None
             and worker.step.reason == "overdue",
-            kept=worker.pinned_models(clock.now()),
+            protected=worker.pinned_models(clock.now()),
             rate_limit=self._rate_limits.get(name),
         )
 
@@ -444,7 +445,10 @@
         worker.step = step
         worker.step_started_at = clock.now()
         worker.expected_ready_at = (
-            clock.now() + _CLOSING_DELAY_SECONDS + step.wait + step.seconds
+            clock.now()
+            + _CLOSING_DELAY_SECONDS
+            + step.victim_run_seconds
+            + step.load_seconds
         )
         worker.closing.update(step.victims)
         self._on_changed([step.target])
@@ -495,7 +499,7 @@
                 return False
         if not await worker.order(load=True, model=step.model, engine=engine):
             return False
-        worker.expected_ready_at = clock.now() + step.seconds
+        worker.expected_ready_at = clock.now() + step.load_seconds
         self._on_changed([step.target])
         seconds = next(
             (m.load_seconds for m in engine.models if m.name == step.model), 5.0
--- a/packages/endivestream/src/endivestream/version/placement.py
+++ b/packages/endivestream/src/endivestream/version/placement.py
@@ -54,7 +54,7 @@
     unplaced: list[Unplaced]
 
 
-class Pace:
+class LoadRateLimiter:
     """Token bucket that limits loads to the rate of the weight store.
 
     The store slows down all concurrent loads when they exceed its rate
@@ -67,14 +67,14 @@
         self._tokens = 1.0
         self._refilled_at = now
 
-    def allowed(self, now: float) -> int:
+    def available(self, now: float) -> int:
         """Returns how many loads may start now; at most a second's worth."""
         added = max(0.0, now - self._refilled_at) * self._rate
         self._tokens = min(max(1.0, self._rate), self._tokens + added)
         self._refilled_at = max(self._refilled_at, now)
         return int(self._tokens)
 
-    def started(self, loads: int) -> None:
+    def take(self, loads: int) -> None:
         """Takes the tokens of loads that start."""
         self._tokens -= loads
 
@@ -84,8 +84,8 @@
     targets: Mapping[str, ledger.Target],
     *,
     live: Collection[str],
-    most_loads: int,
-    most_new: int,
+    max_loads: int,
+    max_new: int,
 ) -> Plan:
     """Plans loads for models that lack copies.
 
@@ -93,9 +93,9 @@
         models: The models of the rules, by name.
         targets: The targets of the ledger, by name.
         live: Names of targets that report and are not draining.
-        most_loads: Maximum of concurrent orders, including those of the ledger
+        max_loads: Maximum of concurrent orders, including those of the ledger
             that are not confirmed yet.
-        most_new: Maximum of new orders; see `Pace`.
+        max_new: Maximum of new orders; see `LoadRateLimiter`.
 
     Returns:
         New loads within both limits, and copies that fit on no target.
@@ -111,7 +111,7 @@
         for model, entry in targets[name].entries.items():
             holders_by_model.setdefault(model, set()).add(name)
             unconfirmed += not entry.loaded
-    budget = min(most_new, max(0, most_loads - unconfirmed))
+    budget = min(max_new, max(0, max_loads - unconfirmed))
     loads: list[Load] = []
     unplaced: list[Unplaced] = []
     # Models without a copy come first, and among those the large ones, which
--- a/packages/endivestream/src/endivestream/version/plan.py
+++ b/packages/endivestream/src/endivestream/version/plan.py
@@ -66,11 +66,11 @@
 _MAX_EXCESS_LOSS = 0.3
 # At most one engine in this many loads an overdue model at a time; the others
 # serve the models that the most requests wait for.
-_OVERDUE_SHARE = 3
+_OVERDUE_ENGINES_DIVISOR = 3
 # An overdue model that an engine has on its disk waits for that engine until it
 # has been unserved for this long. A load from the store takes several times as
 # long as one from the disk, and blocks its engine meanwhile.
-_HOME_PATIENCE_SECONDS = 2 * plan_types.OVERDUE_SECONDS
+_DISK_COPY_WAIT_SECONDS = 2 * plan_types.OVERDUE_SECONDS
 # One engine in this many is reserved for steps that gain at least
 # `_URGENT_GAIN`. Otherwise all engines could be busy for four seconds with
 # loads from the store, for models with one waiting caller each, when a model
@@ -87,23 +87,23 @@
 
 def plan(
     *,
-    engine: document_lib.Engine,
-    places: Sequence[plan_types.Place],
-    wants: Mapping[str, plan_types.Want],
+    capacity: document_lib.Engine,
+    engines: Sequence[plan_types.EngineState],
+    demands: Mapping[str, plan_types.ModelDemand],
     store_loads: int,
     complete: bool = True,
 ) -> plan_types.PlanResult:
     """Plans one round.
 
     Args:
-        engine: Capacity and models of the engines of the service.
-        places: States of all engines of the service.
-        wants: Demand for each model.
+        capacity: Capacity and models of the engines of the service.
+        engines: States of all engines of the service.
+        demands: Demand for each model.
         store_loads: Loads from the weight store that may start now.
         complete: Whether all engines have reported. If so, a model that none
             of them has on its disk is on no disk.
     """
-    planner = _RoundPlanner(engine, places, wants, store_loads)
+    planner = _RoundPlanner(capacity, engines, demands, store_loads)
     planner.load_overdue()
     planner.add_copies(min_net_gain=_URGENT_GAIN)
     planner.load_missing()
@@ -118,14 +118,16 @@
 
     def __init__(
         self,
-        spec: document_lib.Engine,
-        engines: Sequence[plan_types.Place],
-        demands: Mapping[str, plan_types.Want],
+        capacity: document_lib.Engine,
+        engines: Sequence[plan_types.EngineState],
+        demands: Mapping[str, plan_types.ModelDemand],
         store_loads: int,
     ) -> None:
-        self._models = {model.name: model for model in spec.models}
-        self._model_capacity_mb = spec.weights_mb - spec.adapter_places * max(
-            (model.adapter_mb for model in spec.models), default=0.0
+        self._models = {model.name: model for model in capacity.models}
+        self._model_capacity_mb = (
+            capacity.weights_mb
+            - capacity.adapter_places
+            * max((model.adapter_mb for model in capacity.models), default=0.0)
         )
         self._engines = {engine.target: engine for engine in engines}
         self._demands = demands
@@ -144,7 +146,7 @@
         # Results of `_has_free_local_copy`; cleared after each step.
         self._free_local_copies: dict[str, bool] = {}
         for engine in engines:
-            self._disk_copy_loads += engine.is_home
+            self._disk_copy_loads += engine.is_disk_copy_load
             self._overdue_loads += engine.is_overdue
             if not engine.usable:
                 continue
@@ -152,7 +154,7 @@
                 self._disk_copy_counts[model] = (
                     self._disk_copy_counts.get(model, 0) + 1
                 )
-            for model in engine.holds:
+            for model in engine.loaded_or_loading:
                 self._holders.setdefault(model, []).append(engine.target)
                 self._copy_counts[model] = self._copy_counts.get(model, 0) + 1
         self.steps: list[plan_types.Step] = []
@@ -166,11 +168,11 @@
         of the model is refused, all day).
         """
         usable_count = sum(engine.usable for engine in self._engines.values())
-        max_loads = max(1, usable_count // _OVERDUE_SHARE)
+        max_loads = max(1, usable_count // _OVERDUE_ENGINES_DIVISOR)
         overdue = [
             item for item in self._missing_models() if item[1].is_overdue
         ]
-        overdue.sort(key=lambda item: -item[1].unserved)
+        overdue.sort(key=lambda item: -item[1].unserved_seconds)
         for name, demand in overdue:
             if self._overdue_loads >= max_loads:
                 return
@@ -179,14 +181,14 @@
                 "overdue",
                 self._missing_gain(demand),
                 ignore_busy_disk_copies=(
-                    demand.unserved >= _HOME_PATIENCE_SECONDS
+                    demand.unserved_seconds >= _DISK_COPY_WAIT_SECONDS
                 ),
             )
             if step is not None:
                 self._add_step(step)
                 self._overdue_loads += 1
 
-    def _missing_models(self) -> list[tuple[str, plan_types.Want]]:
+    def _missing_models(self) -> list[tuple[str, plan_types.ModelDemand]]:
         """Returns models with waiting requests and without any copy."""
         return [
             (name, demand)
@@ -196,9 +198,11 @@
             and not self._copy_counts.get(name)
         ]
 
-    def _missing_gain(self, demand: plan_types.Want) -> float:
+    def _missing_gain(self, demand: plan_types.ModelDemand) -> float:
         """Returns the gain of loading a missing model, in requests/second."""
-        return max(demand.rate, demand.waiting / max(0.5, demand.objective))
+        return max(
+            demand.rate, demand.waiting / max(0.5, demand.objective_seconds)
+        )
 
     def load_missing(self) -> None:
         """Loads missing models, in descending order of their urgency.
@@ -206,7 +210,9 @@
         The urgency is the number of waiting requests over their objective.
         """
         missing = self._missing_models()
-        missing.sort(key=lambda item: -item[1].waiting / item[1].objective)
+        missing.sort(
+            key=lambda item: -item[1].waiting / item[1].objective_seconds
+        )
         for name, demand in missing:
             gain = self._missing_gain(demand)
             if not self._may_use_free_engine(gain):
@@ -228,7 +234,7 @@
     def _add_unplaced(
         self,
         model: str,
-        demand: plan_types.Want,
+        demand: plan_types.ModelDemand,
         obstacle: plan_types.Obstacle,
         gain: float,
         loss: float = 0.0,
@@ -266,7 +272,9 @@
         models = dict.fromkeys(
             name
             for target in by_load
-            for name in self._sorted_by_rate(self._engines[target].holds)
+            for name in self._sorted_by_rate(
+                self._engines[target].loaded_or_loading
+            )
         )
         candidates = [t for t in reversed(by_load) if self._is_free(t)]
         for name in list(models)[:_COPY_CANDIDATE_MODELS]:
@@ -304,7 +312,7 @@
         best, best_net_gain = None, float("-inf")
         for target in candidates:
             engine = self._engines[target]
-            if target in self._assigned or name in engine.holds:
+            if target in self._assigned or name in engine.loaded_or_loading:
                 continue
             added_rate = rate / (copies + 1)
             gain = relief + self._overload_cost(target, engine_rates[target])
@@ -334,7 +342,11 @@
                 continue
             # The delay does not decide whether a copy is worth its cost, only
             # which engine gets it.
-            net_gain -= gain * (step.wait + step.seconds) / _HORIZON_SECONDS
+            net_gain -= (
+                gain
+                * (step.victim_run_seconds + step.load_seconds)
+                / _HORIZON_SECONDS
+            )
             if net_gain > best_net_gain:
                 best, best_net_gain = step, net_gain
         if best is not None and self._may_use_free_engine(best.gain):
@@ -367,7 +379,9 @@
 
     def _compute_engine_rates(self) -> dict[str, float]:
         return {
-            target: sum(self._copy_rate(name, 0) for name in engine.holds)
+            target: sum(
+                self._copy_rate(name, 0) for name in engine.loaded_or_loading
+            )
             for target, engine in self._engines.items()
             if engine.usable
         }
@@ -446,7 +460,7 @@
         domains = {
             engine.domain
             for engine in self._engines.values()
-            if model in engine.holds
+            if model in engine.loaded_or_loading
         }
         for engine in self._engines.values():
             if (
@@ -455,7 +469,7 @@
                 or engine.target in self._assigned
             ):
                 continue
-            if model in engine.holds:
+            if model in engine.loaded_or_loading:
                 continue
             step = self._plan_step(
                 engine,
@@ -477,7 +491,7 @@
 
     def _plan_step(
         self,
-        engine: plan_types.Place,
+        engine: plan_types.EngineState,
         model: str,
         reason: str,
         gain: float,
@@ -515,7 +529,7 @@
         loss = 0.0
         urgency = max(1.0, gain)
         candidates = sorted(
-            (name for name in engine.loaded if name not in engine.kept),
+            (name for name in engine.loaded if name not in engine.protected),
             key=lambda name: (
                 self._removal_loss(engine, name)
                 + plan_costs.DELAY_COST_PER_SECOND
@@ -539,8 +553,8 @@
             victims=tuple(victims),
             from_store=from_store,
             reason=reason,
-            seconds=self._load_seconds(engine, model),
-            wait=max(
+            load_seconds=self._load_seconds(engine, model),
+            victim_run_seconds=max(
                 (plan_costs.remaining_run_seconds(engine, v) for v in victims),
                 default=0.0,
             ),
@@ -548,12 +562,14 @@
             loss=loss,
         )
 
-    def _removal_loss(self, engine: plan_types.Place, model: str) -> float:
+    def _removal_loss(
+        self, engine: plan_types.EngineState, model: str
+    ) -> float:
         """Returns the loss from removing a model's copy from an engine."""
         copies = max(1, self._copy_counts.get(model, 1))
         demand = self._demands.get(model)
         if demand is None or demand.rate < _ASSUMED_RATE:
-            demand = plan_types.Want(
+            demand = plan_types.ModelDemand(
                 _ASSUMED_RATE, 0, _ASSUMED_OBJECTIVE_SECONDS
             )
         share = _LOSS_SHARE_BY_COPIES.get(copies, _LOSS_SHARE_MANY_COPIES)
@@ -561,7 +577,7 @@
             reload_seconds = (
                 _SWAP_OVERHEAD_SECONDS + self._models[model].disk_seconds
             )
-            in_time = demand.objective > 2 * reload_seconds
+            in_time = demand.objective_seconds > 2 * reload_seconds
             share = _IN_TIME_LOSS_SHARE if in_time else _LATE_LOSS_SHARE
         loss = demand.rate * share + self._redistribution_cost(
             engine, model, copies
@@ -573,7 +589,7 @@
         )
 
     def _redistribution_cost(
-        self, engine: plan_types.Place, model: str, copies: int
+        self, engine: plan_types.EngineState, model: str, copies: int
     ) -> float:
         """Returns the cost of moving a copy's requests to the other copies.
 
@@ -594,7 +610,7 @@
         )
 
     def _crowding_cost(
-        self, engine: plan_types.Place, step: plan_types.Step
+        self, engine: plan_types.EngineState, step: plan_types.Step
     ) -> float:
         """Returns the cost of the added load for the engine's other models."""
         current_rate = sum(
@@ -609,7 +625,7 @@
 
     def _overload_cost(self, target: str, rate: float) -> float:
         """Returns the cost of a rate at an engine, in requests per second."""
-        return plan_costs.lost(rate, self._engines[target].rate_limit)
+        return plan_costs.overload_cost(rate, self._engines[target].rate_limit)
 
     def _copy_rate(self, model: str, extra_copies: int) -> float:
         """Returns the requests per second at one of a model's copies."""
@@ -618,7 +634,7 @@
         )
 
     def _eviction_cost(
-        self, engine: plan_types.Place, step: plan_types.Step
+        self, engine: plan_types.EngineState, step: plan_types.Step
     ) -> float:
         """Returns the cost of the disk copy that a load evicts."""
         if not step.from_store or not engine.on_disk:
@@ -630,7 +646,7 @@
         )
         return _DISK_EVICTION_COST if is_last else 0.0
 
-    def _load_seconds(self, engine: plan_types.Place, name: str) -> float:
+    def _load_seconds(self, engine: plan_types.EngineState, name: str) -> float:
         """Returns how long an engine takes to load a model."""
         model = self._models[name]
         if name in engine.in_memory:
--- a/packages/endivestream/src/endivestream/version/plan_costs.py
+++ b/packages/endivestream/src/endivestream/version/plan_costs.py
@@ -25,7 +25,7 @@
 _OVERLOAD_COST_PER_REQUEST = 2.0
 
 
-def remaining_run_seconds(engine: plan_types.Place, model: str) -> float:
+def remaining_run_seconds(engine: plan_types.EngineState, model: str) -> float:
     """Estimates how long a model's running requests on an engine still take."""
     running = engine.running.get(model, 0)
     if not running:
@@ -41,11 +41,13 @@
     as long as a load takes.
     """
     return (
-        DELAY_COST_PER_SECOND * max(1.0, step.gain) * (step.seconds + step.wait)
+        DELAY_COST_PER_SECOND
+        * max(1.0, step.gain)
+        * (step.load_seconds + step.victim_run_seconds)
     )
 
 
-def lost(rate: float, limit: float | None = None) -> float:
+def overload_cost(rate: float, limit: float | None = None) -> float:
     """Returns the cost of the load of an engine.
 
     Args:
--- a/packages/endivestream/src/endivestream/version/plan_types.py
+++ b/packages/endivestream/src/endivestream/version/plan_types.py
@@ -11,46 +11,46 @@
 OVERDUE_SECONDS = 6.0
 
 
-class Want(NamedTuple):
+class ModelDemand(NamedTuple):
     """Demand for one model.
 
     Attributes:
         rate: Recent requests per second.
         waiting: Number of requests that wait for the model.
-        objective: Shortest objective of its requests, in seconds.
-        unserved: Time since the model was last served, in seconds.
+        objective_seconds: Shortest objective of its requests, in seconds.
+        unserved_seconds: Time since the model was last served, in seconds.
     """
 
     rate: float
     waiting: int
-    objective: float
-    unserved: float = 0.0
+    objective_seconds: float
+    unserved_seconds: float = 0.0
 
     @property
     def is_overdue(self) -> bool:
         """Whether to load the model regardless of the loss of its victims."""
-        return self.waiting > 0 and self.unserved >= OVERDUE_SECONDS
+        return self.waiting > 0 and self.unserved_seconds >= OVERDUE_SECONDS
 
 
-class Place(NamedTuple):
+class EngineState(NamedTuple):
     """State of one engine, as the planner needs it.
 
     Attributes:
         target: Name of the engine.
         domain: Its failure domain.
         loaded: Models that it holds, without those being unloaded.
-        coming: The model that is being loaded, or empty.
+        loading: The model that is being loaded, or empty.
         busy: Whether an order is in progress or has an unknown outcome.
         usable: Whether it may be given orders.
         in_memory: Models in its host memory, least recently used first.
         on_disk: Models on its disk, least recently used first.
         running: Number of running requests by model.
-        is_home: Whether a load is in progress that only puts a model on the
-            disk.
+        is_disk_copy_load: Whether a load is in progress that only puts a model
+            on the disk.
         is_overdue: Whether an overdue model is being loaded.
-        kept: Models that must not be displaced yet: they were loaded recently,
-            and the callers that got a retry response for them have not
-            been served.
+        protected: Models that must not be displaced yet: they were loaded
+            recently, and the callers that got a retry response for them have
+            not been served.
         rate_limit: Requests per second that it accepts; None if it reports no
             limit.
     """
@@ -58,21 +58,21 @@
     target: str
     domain: str
     loaded: tuple[str, ...]
-    coming: str
+    loading: str
     busy: bool
     usable: bool
     in_memory: tuple[str, ...]
     on_disk: tuple[str, ...]
     running: Mapping[str, int]
-    is_home: bool = False
+    is_disk_copy_load: bool = False
     is_overdue: bool = False
-    kept: frozenset[str] = frozenset()
+    protected: frozenset[str] = frozenset()
     rate_limit: float | None = None
 
     @property
-    def holds(self) -> tuple[str, ...]:
+    def loaded_or_loading(self) -> tuple[str, ...]:
         """Models that it holds, and the one that is being loaded."""
-        return (*self.loaded, self.coming) if self.coming else self.loaded
+        return (*self.loaded, self.loading) if self.loading else self.loaded
 
 
 class Step(NamedTuple):
@@ -84,9 +84,9 @@
         victims: Models to unload first.
         from_store: Whether the weights come from the weight store.
         reason: `overdue`, `missing`, `copy` or `home`, for the log.
-        seconds: Duration of the load.
-        wait: Estimated time until the running requests of the victims end, in
-            seconds.
+        load_seconds: Duration of the load.
+        victim_run_seconds: Estimated time until the running requests of the
+            victims end, in seconds.
         gain: Gain of the step, in requests per second.
         loss: Loss of the victims, in requests per second.
     """
@@ -96,8 +96,8 @@
     victims: tuple[str, ...]
     from_store: bool
     reason: str
-    seconds: float
-    wait: float
+    load_seconds: float
+    victim_run_seconds: float
     gain: float
     loss: float
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -94,8 +94,8 @@
             {model.name: model for model in models},
             ledger.targets,
             live=live,
-            most_loads=max_loads,
-            most_new=max_new,
+            max_loads=max_loads,
+            max_new=max_new,
         )
 
     def setUp(self):
@@ -133,12 +133,12 @@
     )
     def test_pace_keeps_to_the_rate_in_every_window(self, steps, rate):
         """Loads in any window stay within the rate plus one second's worth."""
-        pace = placement.Pace(rate=rate, now=0.0)
+        pace = placement.LoadRateLimiter(rate=rate, now=0.0)
         now, starts = 0.0, []
         for milliseconds in steps:
             now += milliseconds / 1000
-            loads = pace.allowed(now)
-            pace.started(loads)
+            loads = pace.available(now)
+            pace.take(loads)
             starts += [now] * loads
         for first, window_start in enumerate(starts):
             for last in range(first, len(starts)):
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -33,25 +33,25 @@
 def engine_state(target, loaded="", **fields):
     values = {
         "domain": "a",
-        "coming": "",
+        "loading": "",
         "busy": False,
         "usable": True,
         "in_memory": (),
         "on_disk": tuple(loaded),
         "running": {},
     } | fields
-    return plan_types.Place(target=target, loaded=tuple(loaded), **values)
+    return plan_types.EngineState(target=target, loaded=tuple(loaded), **values)
 
 
 def demand(rate=0.0, waiting=0, objective=0.8, unserved=0.0):
-    return plan_types.Want(rate, waiting, objective, unserved)
+    return plan_types.ModelDemand(rate, waiting, objective, unserved)
 
 
 def plan_round(engines, demands, store_loads=10, **fields):
     return plan.plan(
-        engine=fields.pop("engine", engine()),
-        places=engines,
-        wants=demands,
+        capacity=fields.pop("engine", engine()),
+        engines=engines,
+        demands=demands,
         store_loads=store_loads,
         **fields,
     )
@@ -166,7 +166,7 @@
 
     def test_a_model_that_is_being_loaded_is_not_loaded_twice(self):
         engines = [
-            engine_state("t1", "ab", coming="h"),
+            engine_state("t1", "ab", loading="h"),
             engine_state("t2", "abc"),
         ]
         self.assertEqual(
@@ -242,13 +242,15 @@
     def test_a_recently_loaded_model_is_not_displaced(self):
         """Guards against unloading a model before its callers retry."""
         kept = frozenset("a")
-        engines = [engine_state("t1", "abc", on_disk=("g",), kept=kept)]
+        engines = [engine_state("t1", "abc", on_disk=("g",), protected=kept)]
         demands = {"a": demand(0.0), "b": demand(9.0), "c": demand(9.0)}
         demands |= {"g": demand(9.0, 9, 0.8, 30.0)}
         steps = plan_steps(engines, demands, complete=False)
         self.assertNotIn("a", steps[0].victims)
         all_kept = [
-            engine_state("t1", "abc", on_disk=("g",), kept=frozenset("abc"))
+            engine_state(
+                "t1", "abc", on_disk=("g",), protected=frozenset("abc")
+            )
         ]
         self.assertEqual([], plan_steps(all_kept, demands, complete=False))
 
@@ -404,11 +406,11 @@
                 engines[step.target] = engine_state(
                     step.target,
                     "".join(sorted(kept)),
-                    coming=step.model,
+                    loading=step.model,
                     busy=True,
                     on_disk=before.on_disk,
                 )
-        copies = sum("a" in (*p.loaded, p.coming) for p in engines.values())
+        copies = sum("a" in (*p.loaded, p.loading) for p in engines.values())
         self.assertGreaterEqual(copies, 4)
 
     def test_a_second_copy_does_not_wait_for_a_slow_first_one(self):
@@ -418,7 +420,7 @@
         its victim to end; that engine alone will be overloaded by it.
         """
         engines = [
-            engine_state("t0", "bc", coming="a", busy=True, on_disk=()),
+            engine_state("t0", "bc", loading="a", busy=True, on_disk=()),
             engine_state("t1", "def", on_disk=("a", "d", "e", "f")),
             engine_state("t2", "def", on_disk=("d", "e", "f")),
         ]
@@ -477,7 +479,7 @@
             list(engines.values()), demands, engine=engine(names)
         ):
             engines[step.target] = engine_state(
-                step.target, "bc", coming=step.model, busy=True, on_disk=()
+                step.target, "bc", loading=step.model, busy=True, on_disk=()
             )
         demands |= {"p": demand(5.0, 30)}
         steps = plan_steps(
--- a/tests/test_unserved_models.py
+++ b/tests/test_unserved_models.py
@@ -23,9 +23,9 @@
     A load waits for an engine without another placement step, and for the end
     of the protection of a model that was loaded recently.
     """
-    at_once = max(1, engines // plan_lib._OVERDUE_SHARE)
+    at_once = max(1, engines // plan_lib._OVERDUE_ENGINES_DIVISOR)
     load = 2 * STEP_SECONDS + planner_lib._UNUSED_SECONDS
-    return plan_lib._HOME_PATIENCE_SECONDS + math.ceil(models / at_once) * load
+    return plan_lib._DISK_COPY_WAIT_SECONDS + math.ceil(models / at_once) * load
 
 
 async def _run_rare_models(seed, *, lost_holder=False):
