--- a/packages/endivestream/src/endivestream/process/leading.py
+++ b/packages/endivestream/src/endivestream/process/leading.py
@@ -26,10 +26,10 @@
 from endivestream.version import calls as calls_lib
 from endivestream.version import configuration as configuration_lib
 from endivestream.version import credit as credit_lib
+from endivestream.version import host_leases as host_leases_lib
 from endivestream.version import replicate
 from endivestream.version import rules as rules_lib
 from endivestream.version import state as state_lib
-from endivestream.version import watchers as watchers_lib
 
 # Interval between removals of stored answers whose time has expired.
 _EXPIRE_CALLS_INTERVAL_SECONDS = 60.0
@@ -42,7 +42,7 @@
         limiter: Token buckets of the teams.
         dispatcher: Target table and scheduler.
         placer: Placement of models on targets.
-        watchers: Configuration leases of gateways.
+        host_leases: Configuration leases of gateways.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
             wanted=settings.peers.voters,
             replace_seconds=settings.peers.replace_voter_seconds,
         )
-        self.watchers = watchers_lib.Watchers(
+        self.host_leases = host_leases_lib.HostLeases(
             lease_seconds=timing.lease_seconds,
             silence_seconds=timing.host_silence_seconds,
             now=time.monotonic(),
@@ -143,8 +143,8 @@
         while True:
             await asyncio.sleep(self._settings.timing.watch_seconds)
             now = time.monotonic()
-            self.watchers.refresh(now)
-            for host in self.watchers.forget(now):
+            self.host_leases.refresh(now)
+            for host in self.host_leases.forget_expired(now):
                 # The host's process may hang and recover later; its slots are
                 # released for other hosts now.
                 released = self.dispatcher.release_host(host.name)
@@ -169,7 +169,7 @@
         """
         running = list(self._replicator.state.calls.running_hosts)
         for name, incarnation in running:
-            if self.watchers.is_gone(name, now):
+            if self.host_leases.is_expired(name, now):
                 logs.warn("calls_abandoned", peer=name)
                 await self._replicator.propose(
                     calls_lib.AbandonCalls(host=name, before=incarnation + 1)
@@ -204,9 +204,9 @@
             version=self._replicator.state.configuration.version,
             seconds=0.0,
             hosts=None,
-            hosts_version=self.watchers.hosts_version,
+            hosts_version=self.host_leases.hosts_version,
         )
-        await self._push(self.watchers.peers(now), push)
+        await self._push(self.host_leases.peers(now), push)
 
     async def handle(
         self, peer: bytes, message: messages.Message
@@ -253,8 +253,8 @@
         self, peer: bytes, message: messages.Watch
     ) -> messages.Message | None:
         now = time.monotonic()
-        previous = self.watchers.find(message.host.name)
-        if not self.watchers.renew(message.host, peer, message.have, now):
+        previous = self.host_leases.find(message.host.name)
+        if not self.host_leases.renew(message.host, peer, message.have, now):
             logs.warn(
                 "duplicate_host_name",
                 peer=message.host.name,
@@ -264,12 +264,12 @@
         if previous is None or previous.incarnation < message.host.incarnation:
             logs.event("host_joined", peer=message.host.name)
             # A newer incarnation proves that the old process has ended.
-            self.watchers.refresh(now)
+            self.host_leases.refresh(now)
             self.dispatcher.release_host(message.host.name)
             await self._abandon_older_calls(message.host)
         elif previous.draining != message.host.draining:
             logs.event("host_draining", peer=message.host.name)
-            self.watchers.refresh(now)
+            self.host_leases.refresh(now)
             await self._push_version()
         return self._lease_answer(message)
 
@@ -281,17 +281,17 @@
         update = None
         if message.have != configuration.version:
             update = configuration.update_since(message.have)
-        hosts_version = self.watchers.hosts_version
+        hosts_version = self.host_leases.hosts_version
         # An incomplete table is sent only to a host that has none yet.
         has_hosts = message.hosts_seen == hosts_version or (
             message.hosts_seen > 0
-            and not self.watchers.is_complete(time.monotonic())
+            and not self.host_leases.is_complete(time.monotonic())
         )
         return messages.Lease(
             update=update,
             version=configuration.version,
             seconds=self._settings.timing.lease_seconds,
-            hosts=None if has_hosts else self.watchers.live,
+            hosts=None if has_hosts else self.host_leases.live,
             hosts_version=message.hosts_seen if has_hosts else hosts_version,
         )
 
--- a/packages/endivestream/src/endivestream/process/planner_lease_manager.py
+++ b/packages/endivestream/src/endivestream/process/planner_lease_manager.py
@@ -19,8 +19,8 @@
 from endivestream import site_messages
 from endivestream.connection import registry as registry_lib
 from endivestream.process import use_table
+from endivestream.version import planner_lease as planner_lease_lib
 from endivestream.version import replicate
-from endivestream.version import seat as seat_lib
 
 # Duration of the lease, counted from the holder's request. It covers most
 # elections, so that placement continues without a leader. A longer lease delays
@@ -96,8 +96,8 @@
         return self._first_number + len(self._feed_items) - 1
 
     @property
-    def _lease_record(self) -> seat_lib.Record:
-        return self._replicator.state.seat.record
+    def _lease_record(self) -> planner_lease_lib.PlannerLeaseRecord:
+        return self._replicator.state.planner_lease.record
 
     # Input of the planner feed.
 
@@ -265,7 +265,9 @@
         """Records in the log that the pause before the holder has passed."""
         if not self._lease_record.settled and clock.now() >= self._orders_from:
             await self._replicator.propose(
-                seat_lib.Settle(fence=self._lease_record.fence)
+                planner_lease_lib.ConfirmPlannerLease(
+                    fence=self._lease_record.fence
+                )
             )
 
     def _preference_rank(self, host: str) -> int:
@@ -307,14 +309,16 @@
                 now if is_first else self._earliest_order_time(record, now)
             )
             result = await self._replicator.propose(
-                seat_lib.Appoint(
+                planner_lease_lib.GrantPlannerLease(
                     holder=host,
-                    after=record.fence,
+                    previous_fence=record.fence,
                     term=self._replicator.term,
                     settled=is_first,
                 )
             )
-            assert isinstance(result, seat_lib.Appointed), result
+            assert isinstance(result, planner_lease_lib.PlannerLeaseGranted), (
+                result
+            )
             if result.holder == host:
                 self._holder_seen_at = clock.now()
                 self._orders_from = orders_from
@@ -327,7 +331,7 @@
             )
 
     def _earliest_order_time(
-        self, record: seat_lib.Record, now: float
+        self, record: planner_lease_lib.PlannerLeaseRecord, now: float
     ) -> float:
         """Returns the earliest time at which a new holder may order.
 
--- a/packages/endivestream/src/endivestream/process/views.py
+++ b/packages/endivestream/src/endivestream/process/views.py
@@ -66,7 +66,7 @@
         case "voters":
             return _voters(replicator)
         case "in_force":
-            lagging = leading.watchers.lagging(version, now)
+            lagging = leading.host_leases.lagging(version, now)
             return {"version": version, "lagging": lagging}
         case "status":
             return _status(host, replicator, leading, now)
@@ -92,7 +92,7 @@
         "learners": len(members.learners),
         "configuration_version": state.configuration.version,
         "rules_version": state.configuration.rules_version,
-        "hosts": [host._asdict() for host in leading.watchers.live],
+        "hosts": [host._asdict() for host in leading.host_leases.live],
         "targets_live": len(targets.live(now)),
         "targets_known": len(targets.sessions),
         "models_without_room": leading.placer.unplaced,
--- a/packages/endivestream/src/endivestream/version/watchers.py
+++ b/packages/endivestream/src/endivestream/version/host_leases.py
@@ -19,19 +19,20 @@
     Attributes:
         host: The host.
         peer: The connection to push changes to.
-        have: The configuration version that it has in force.
-        heard: When it last renewed its lease, in seconds of a monotonic clock.
+        version: The configuration version that it has in force.
+        renewed_at: When it last renewed its lease, in seconds of a monotonic
+            clock.
         lease_until: When its lease has certainly expired.
     """
 
     host: messages.HostInfo
     peer: bytes
-    have: int
-    heard: float
+    version: int
+    renewed_at: float
     lease_until: float
 
 
-class Watchers:
+class HostLeases:
     """Leases of all hosts known to this process. Times are in seconds."""
 
     def __init__(
@@ -55,10 +56,10 @@
         return self._hosts_version
 
     def __repr__(self) -> str:
-        return f"<Watchers of {len(self._leases)} hosts>"
+        return f"<HostLeases of {len(self._leases)} hosts>"
 
     def renew(
-        self, host: messages.HostInfo, peer: bytes, have: int, now: float
+        self, host: messages.HostInfo, peer: bytes, version: int, now: float
     ) -> bool:
         """Renews a lease; False if the request is of an older incarnation.
 
@@ -70,7 +71,7 @@
         if current is not None and current.host.incarnation > host.incarnation:
             return False
         self._leases[host.name] = HostLease(
-            host, peer, have, now, now + self._lease_seconds
+            host, peer, version, now, now + self._lease_seconds
         )
         return True
 
@@ -101,13 +102,13 @@
         live = sorted(
             lease.host
             for lease in self._leases.values()
-            if now - lease.heard <= self._silence_seconds
+            if now - lease.renewed_at <= self._silence_seconds
         )
         if live != self._live_hosts:
             self._live_hosts = live
             self._hosts_version += 1
 
-    def is_gone(self, name: str, now: float) -> bool:
+    def is_expired(self, name: str, now: float) -> bool:
         """Returns whether a host has not renewed for two leases or more."""
         unknown = name not in self._leases
         return (
@@ -119,7 +120,7 @@
         return [
             lease.peer
             for lease in self._leases.values()
-            if now - lease.heard <= self._silence_seconds
+            if now - lease.renewed_at <= self._silence_seconds
         ]
 
     def lagging(self, version: int, now: float) -> list[str]:
@@ -132,13 +133,13 @@
         lagging_hosts = [
             name
             for name, lease in self._leases.items()
-            if lease.have < version and lease.lease_until > now
+            if lease.version < version and lease.lease_until > now
         ]
         if now < self._unknown_leases_until:
             lagging_hosts.append("(leases given before the last restart)")
         return sorted(lagging_hosts)
 
-    def forget(self, now: float) -> list[messages.HostInfo]:
+    def forget_expired(self, now: float) -> list[messages.HostInfo]:
         """Removes and returns hosts whose lease expired over one lease ago."""
         expired = [
             lease.host
--- a/packages/endivestream/src/endivestream/version/seat.py
+++ b/packages/endivestream/src/endivestream/version/planner_lease.py
@@ -13,24 +13,29 @@
 import msgspec
 
 
-class Appoint(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Grants the planner lease, if its record is unchanged since `after`.
+class GrantPlannerLease(
+    msgspec.Struct, frozen=True, kw_only=True, tag="Appoint"
+):
+    """Grants the planner lease, if its fencing token is `previous_fence`.
 
     Attributes:
         holder: The host that gets the lease.
-        after: Fencing token of the previous holder; 0 if there was none.
+        previous_fence: Fencing token of the previous holder; 0 if there was
+            none.
         term: Term of the proposer.
         settled: Whether no host can have sent orders recently, so that the
             holder may send orders immediately.
     """
 
     holder: str
-    after: int
+    previous_fence: int = msgspec.field(name="after")
     term: int
     settled: bool = False
 
 
-class Settle(msgspec.Struct, frozen=True, kw_only=True, tag=True):
+class ConfirmPlannerLease(
+    msgspec.Struct, frozen=True, kw_only=True, tag="Settle"
+):
     """Records that the pause before a holder's first order has passed.
 
     Until this is in the log, each new leader starts the pause again: it has no
@@ -40,14 +45,16 @@
     fence: int
 
 
-class Appointed(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Result of `Appoint` and `Settle`: the current lease holder."""
+class PlannerLeaseGranted(
+    msgspec.Struct, frozen=True, kw_only=True, tag="Appointed"
+):
+    """Result of both commands: the current lease holder."""
 
     holder: str
     fence: int
 
 
-class Record(msgspec.Struct, frozen=True, kw_only=True):
+class PlannerLeaseRecord(msgspec.Struct, frozen=True, kw_only=True):
     """The current planner lease.
 
     Attributes:
@@ -61,26 +68,35 @@
     settled: bool = False
 
 
-class Seat:
+class PlannerLease:
     """The planner lease in the replicated state."""
 
     def __init__(self) -> None:
-        self.record = Record()
+        self.record = PlannerLeaseRecord()
 
     def __repr__(self) -> str:
-        return f"<Seat of {self.record.holder!r}, fence {self.record.fence}>"
-
-    def apply(self, command: Appoint | Settle) -> Appointed:
+        return (
+            f"<PlannerLease of {self.record.holder!r}, "
+            f"fence {self.record.fence}>"
+        )
+
+    def apply(
+        self, command: GrantPlannerLease | ConfirmPlannerLease
+    ) -> PlannerLeaseGranted:
         """Applies a command in log order; deterministic on every replica."""
         match command:
-            case Appoint(after=after) if after == self.record.fence:
+            case GrantPlannerLease(previous_fence=previous_fence) if (
+                previous_fence == self.record.fence
+            ):
                 # Never below the term: earlier releases used the term as the
                 # fencing token of orders.
-                self.record = Record(
+                self.record = PlannerLeaseRecord(
                     holder=command.holder,
-                    fence=max(after + 1, command.term),
+                    fence=max(previous_fence + 1, command.term),
                     settled=command.settled,
                 )
-            case Settle(fence=fence) if fence == self.record.fence:
+            case ConfirmPlannerLease(fence=fence) if fence == self.record.fence:
                 self.record = msgspec.structs.replace(self.record, settled=True)
-        return Appointed(holder=self.record.holder, fence=self.record.fence)
+        return PlannerLeaseGranted(
+            holder=self.record.holder, fence=self.record.fence
+        )
--- a/packages/endivestream/src/endivestream/version/state.py
+++ b/packages/endivestream/src/endivestream/version/state.py
@@ -15,7 +15,7 @@
 from endivestream.version import departures as departures_lib
 from endivestream.version import document as document_lib
 from endivestream.version import ledger as ledger_lib
-from endivestream.version import seat as seat_lib
+from endivestream.version import planner_lease as planner_lease_lib
 
 Command = (
     configuration_lib.ApplyRules
@@ -31,8 +31,8 @@
     | credit_lib.SetAside
     | document_lib.ApplyDocument
     | departures_lib.Depart
-    | seat_lib.Appoint
-    | seat_lib.Settle
+    | planner_lease_lib.GrantPlannerLease
+    | planner_lease_lib.ConfirmPlannerLease
 )
 Result = (
     configuration_lib.Applied
@@ -48,7 +48,7 @@
     | credit_lib.DoneSettingAside
     | document_lib.DocumentApplied
     | departures_lib.Departed
-    | seat_lib.Appointed
+    | planner_lease_lib.PlannerLeaseGranted
 )
 
 _encoder = msgspec.msgpack.Encoder()
@@ -62,7 +62,9 @@
     credit: tuple[int, dict[str, credit_lib.Level]]
     document: document_lib.Document | None = None
     departures: dict[str, int | None] = {}
-    seat: seat_lib.Record = seat_lib.Record()
+    seat: planner_lease_lib.PlannerLeaseRecord = (
+        planner_lease_lib.PlannerLeaseRecord()
+    )
 
 
 _snapshot_decoder = msgspec.msgpack.Decoder(_Snapshot)
@@ -88,7 +90,7 @@
         credit: Credit of the teams, without what is reserved for the leader.
         document: The configuration document, which is replaced as a unit.
         departures: Targets that have deregistered.
-        seat: Planner lease: the host that places models.
+        planner_lease: Planner lease: the host that places models.
     """
 
     def __init__(self) -> None:
@@ -98,7 +100,7 @@
         self.credit = credit_lib.Credit()
         self.document = document_lib.Holder()
         self.departures = departures_lib.Departures()
-        self.seat = seat_lib.Seat()
+        self.planner_lease = planner_lease_lib.PlannerLease()
 
     def __repr__(self) -> str:
         return f"<State {self.configuration!r} {self.calls!r} {self.ledger!r}>"
@@ -131,8 +133,11 @@
                 return self.document.apply(command)
             case departures_lib.Depart():
                 return self.departures.apply(command)
-            case seat_lib.Appoint() | seat_lib.Settle():
-                return self.seat.apply(command)
+            case (
+                planner_lease_lib.GrantPlannerLease()
+                | planner_lease_lib.ConfirmPlannerLease()
+            ):
+                return self.planner_lease.apply(command)
 
     def snapshot(self) -> bytes:
         """Encodes the complete state."""
@@ -144,7 +149,7 @@
                 credit=self.credit.snapshot(),
                 document=self.document.current,
                 departures=self.departures.born,
-                seat=self.seat.record,
+                seat=self.planner_lease.record,
             )
         )
 
@@ -157,4 +162,4 @@
         self.credit.restore(snapshot.credit)
         self.document.current = snapshot.document
         self.departures.restore(snapshot.departures)
-        self.seat.record = snapshot.seat
+        self.planner_lease.record = snapshot.seat
--- a/tests/test_seat.py
+++ b/tests/test_seat.py
@@ -14,7 +14,7 @@
 from endivestream.process import planner_lease_manager
 from endivestream.process import seat as seat_lib
 from endivestream.version import members as members_lib
-from endivestream.version import seat as record_lib
+from endivestream.version import planner_lease as planner_lease_lib
 from endivestream.version import state as state_lib
 import hypothesis
 from hypothesis import strategies as st
@@ -304,38 +304,71 @@
         The second leader proposes its appointment before it has applied the
         first one.
         """
-        lease = record_lib.Seat()
-        lease.apply(record_lib.Appoint(holder="a", after=0, term=3))
-        lease.apply(record_lib.Appoint(holder="b", after=0, term=4))
+        lease = planner_lease_lib.PlannerLease()
+        lease.apply(
+            planner_lease_lib.GrantPlannerLease(
+                holder="a", previous_fence=0, term=3
+            )
+        )
+        lease.apply(
+            planner_lease_lib.GrantPlannerLease(
+                holder="b", previous_fence=0, term=4
+            )
+        )
         self.assertEqual("a", lease.record.holder)
         self.assertEqual(3, lease.record.fence)
 
     def test_fencing_tokens_increase_and_are_not_below_the_term(self):
         """Guards against a fencing token that is used by two holders."""
-        lease = record_lib.Seat()
-        lease.apply(record_lib.Appoint(holder="a", after=0, term=3))
-        lease.apply(record_lib.Appoint(holder="b", after=3, term=3))
+        lease = planner_lease_lib.PlannerLease()
+        lease.apply(
+            planner_lease_lib.GrantPlannerLease(
+                holder="a", previous_fence=0, term=3
+            )
+        )
+        lease.apply(
+            planner_lease_lib.GrantPlannerLease(
+                holder="b", previous_fence=3, term=3
+            )
+        )
         self.assertEqual(4, lease.record.fence)
-        lease.apply(record_lib.Appoint(holder="a", after=4, term=9))
+        lease.apply(
+            planner_lease_lib.GrantPlannerLease(
+                holder="a", previous_fence=4, term=9
+            )
+        )
         self.assertEqual(9, lease.record.fence)
 
     def test_only_the_holder_of_the_fencing_token_is_settled(self):
         """Guards against a late record that ends the pause of a new holder."""
-        lease = record_lib.Seat()
-        lease.apply(record_lib.Appoint(holder="a", after=0, term=3))
-        lease.apply(record_lib.Appoint(holder="b", after=3, term=3))
-        lease.apply(record_lib.Settle(fence=3))
+        lease = planner_lease_lib.PlannerLease()
+        lease.apply(
+            planner_lease_lib.GrantPlannerLease(
+                holder="a", previous_fence=0, term=3
+            )
+        )
+        lease.apply(
+            planner_lease_lib.GrantPlannerLease(
+                holder="b", previous_fence=3, term=3
+            )
+        )
+        lease.apply(planner_lease_lib.ConfirmPlannerLease(fence=3))
         self.assertFalse(lease.record.settled)
-        lease.apply(record_lib.Settle(fence=4))
+        lease.apply(planner_lease_lib.ConfirmPlannerLease(fence=4))
         self.assertTrue(lease.record.settled)
 
     def test_the_lease_record_survives_a_snapshot(self):
         """Guards against a holder that is missing after a restart."""
         state = state_lib.State()
-        state.apply(1, record_lib.Appoint(holder="a", after=0, term=3))
+        state.apply(
+            1,
+            planner_lease_lib.GrantPlannerLease(
+                holder="a", previous_fence=0, term=3
+            ),
+        )
         other = state_lib.State()
         other.restore(state.snapshot())
-        self.assertEqual(state.seat.record, other.seat.record)
+        self.assertEqual(state.planner_lease.record, other.planner_lease.record)
 
 
 class Host:
--- a/tests/test_soft_state.py
+++ b/tests/test_soft_state.py
@@ -1,4 +1,4 @@
-"""Tests of targets, watchers, addresses, stream events and retry budgets."""
+"""Tests of targets, host leases, addresses, stream events and retry budgets."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 from endivestream.connection import targets as targets_lib
 from endivestream.request import retries
 from endivestream.request import sse
-from endivestream.version import watchers as watchers_lib
+from endivestream.version import host_leases as host_leases_lib
 import hypothesis
 from hypothesis import strategies as st
 
@@ -57,9 +57,9 @@
         self.assertFalse(self.targets.report(_report(1, incarnation=2), 0.0))
 
 
-class WatchersTest(unittest.TestCase):
+class HostLeasesTest(unittest.TestCase):
     def setUp(self):
-        self.watchers = watchers_lib.Watchers(
+        self.host_leases = host_leases_lib.HostLeases(
             lease_seconds=3.0, silence_seconds=2.0, now=0.0
         )
 
@@ -69,26 +69,26 @@
         One host has the change; the other was partitioned with a valid lease
         and acknowledges nothing.
         """
-        self.watchers.renew(_host("a"), b"a", 1, 9.0)
-        self.watchers.renew(_host("b"), b"b", 1, 10.0)
-        self.watchers.renew(_host("a"), b"a", 2, 10.5)
-        self.assertEqual(self.watchers.lagging(2, 12.9), ["b"])
-        self.assertEqual(self.watchers.lagging(2, 13.0), [])
+        self.host_leases.renew(_host("a"), b"a", 1, 9.0)
+        self.host_leases.renew(_host("b"), b"b", 1, 10.0)
+        self.host_leases.renew(_host("a"), b"a", 2, 10.5)
+        self.assertEqual(self.host_leases.lagging(2, 12.9), ["b"])
+        self.assertEqual(self.host_leases.lagging(2, 13.0), [])
 
     def test_leases_of_an_earlier_process_delay_changes(self):
         """Guards against confirming a change before old leases expire.
 
         A new leader has no record of the leases of its predecessor.
         """
-        self.assertNotEqual(self.watchers.lagging(1, 2.9), [])
-        self.assertEqual(self.watchers.lagging(1, 3.0), [])
+        self.assertNotEqual(self.host_leases.lagging(1, 2.9), [])
+        self.assertEqual(self.host_leases.lagging(1, 3.0), [])
 
     def test_older_incarnation_cannot_renew_for_its_successor(self):
         """Guards against renewals of a replaced process of the same host."""
-        self.watchers.renew(_host("a", incarnation=2), b"n", 5, 9.0)
-        older = self.watchers.renew(_host("a", incarnation=1), b"o", 9, 9.1)
+        self.host_leases.renew(_host("a", incarnation=2), b"n", 5, 9.0)
+        older = self.host_leases.renew(_host("a", incarnation=1), b"o", 9, 9.1)
         self.assertFalse(older)
-        self.assertEqual(self.watchers.lagging(6, 9.2), ["a"])
+        self.assertEqual(self.host_leases.lagging(6, 9.2), ["a"])
 
     def test_incomplete_table_of_new_leader_is_not_used(self):
         """Guards against a short list of addresses after a leader change.
@@ -96,11 +96,11 @@
         The new leader has received a renewal from one host of eight; the
         others renew shortly after.
         """
-        self.watchers.renew(_host("a"), b"a", 1, 0.1)
-        self.watchers.refresh(0.1)
-        self.assertEqual(len(self.watchers.live), 1)
-        self.assertFalse(self.watchers.is_complete(1.9))
-        self.assertTrue(self.watchers.is_complete(2.0))
+        self.host_leases.renew(_host("a"), b"a", 1, 0.1)
+        self.host_leases.refresh(0.1)
+        self.assertEqual(len(self.host_leases.live), 1)
+        self.assertFalse(self.host_leases.is_complete(1.9))
+        self.assertTrue(self.host_leases.is_complete(2.0))
 
 
 class AddressesTest(unittest.TestCase):
