--- a/benchmarks/capacity/pure.py
+++ b/benchmarks/capacity/pure.py
@@ -150,7 +150,7 @@
     for models in (50, 100, 200, 400):
 
         def build(models: int = models) -> Any:
-            view = configuration.View()
+            view = configuration.ConfigurationView()
             view.update(
                 configuration.Update(
                     base=0,
--- a/packages/endivestream/src/endivestream/process/adapter_placer.py
+++ b/packages/endivestream/src/endivestream/process/adapter_placer.py
@@ -70,7 +70,7 @@
     def plan(
         self,
         *,
-        engine: document_lib.Engine,
+        engine: document_lib.EngineCapacity,
         workers: Collection[worker_lib.EngineWorker],
         requested: Mapping[str, float],
         now: float,
@@ -103,7 +103,7 @@
         self,
         name: str,
         holders: list[worker_lib.EngineWorker],
-        engine: document_lib.Engine,
+        engine: document_lib.EngineCapacity,
         now: float,
         *,
         is_overdue: bool,
@@ -163,7 +163,7 @@
         worker: worker_lib.EngineWorker,
         name: str,
         victim: str,
-        engine: document_lib.Engine,
+        engine: document_lib.EngineCapacity,
     ) -> None:
         try:
             if victim:
@@ -196,7 +196,9 @@
 
 
 def _choose_victim(
-    worker: worker_lib.EngineWorker, engine: document_lib.Engine, now: float
+    worker: worker_lib.EngineWorker,
+    engine: document_lib.EngineCapacity,
+    now: float,
 ) -> str | None:
     """Returns an adapter to evict.
 
--- a/packages/endivestream/src/endivestream/process/callers.py
+++ b/packages/endivestream/src/endivestream/process/callers.py
@@ -261,7 +261,7 @@
         names = rules.allowed.get(key.team, frozenset())
         rows = []
         for name in sorted(names):
-            if rules.model_of(name) is None:
+            if rules.base_model(name) is None:
                 continue
             row = {"id": name, "object": "model", "owned_by": key.team}
             adapter = rules.adapters.get(name)
--- a/packages/endivestream/src/endivestream/process/engine_worker.py
+++ b/packages/endivestream/src/endivestream/process/engine_worker.py
@@ -148,7 +148,7 @@
         self._add_adapters(registration.loaded)
         self.report_received.set()
 
-    def fits(self, model: str, engine: document_lib.Engine) -> bool:
+    def fits(self, model: str, engine: document_lib.EngineCapacity) -> bool:
         """Returns whether a model is certain to fit into the engine's memory.
 
         An engine that is ordered to hold more than fits crashes, and all
@@ -165,7 +165,7 @@
         )
         return weights + adapters <= engine.weights_mb
 
-    def free_adapter_places(self, engine: document_lib.Engine) -> int:
+    def free_adapter_places(self, engine: document_lib.EngineCapacity) -> int:
         """Returns how many more adapters may be planned for the engine.
 
         Adapters about to be unloaded do not count: their places are reserved
@@ -185,7 +185,7 @@
             *self._unloading_adapters,
         }
 
-    def _has_room(self, name: str, engine: document_lib.Engine) -> bool:
+    def _has_room(self, name: str, engine: document_lib.EngineCapacity) -> bool:
         """Returns whether a load may be ordered now.
 
         Plans assume the effects of earlier orders; one of these may have been
@@ -244,7 +244,7 @@
         load: bool,
         model: str,
         adapter: str = "",
-        engine: document_lib.Engine,
+        engine: document_lib.EngineCapacity,
     ) -> bool:
         """Sends one order.
 
--- a/packages/endivestream/src/endivestream/process/gateway.py
+++ b/packages/endivestream/src/endivestream/process/gateway.py
@@ -85,7 +85,7 @@
     ) -> None:
         self._settings = settings
         self._metrics = metrics
-        self._view = configuration_lib.View()
+        self._view = configuration_lib.ConfigurationView()
         self._incarnation = time.time_ns() // 1_000_000
         self._draining = False
         self._lease_until = 0.0
@@ -110,7 +110,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     @property
-    def view(self) -> configuration_lib.View:
+    def view(self) -> configuration_lib.ConfigurationView:
         """The configuration in force on this host."""
         return self._view
 
--- a/packages/endivestream/src/endivestream/process/handlers.py
+++ b/packages/endivestream/src/endivestream/process/handlers.py
@@ -138,7 +138,7 @@
                 "send your key as 'Authorization: Bearer KEY'",
                 status=401,
             )
-        key = self.gateway.view.key(presented)
+        key = self.gateway.view.find_key(presented)
         if key is None:
             return findings.not_run(
                 "key_unknown", "this key is not valid", status=401
--- a/packages/endivestream/src/endivestream/process/planner.py
+++ b/packages/endivestream/src/endivestream/process/planner.py
@@ -100,7 +100,7 @@
         self._on_sent = sent
         # Rate limits named by targets, in requests per second.
         self._rate_limits: dict[str, float] = {}
-        self._services: dict[str, document_lib.Engine] = {}
+        self._services: dict[str, document_lib.EngineCapacity] = {}
         self._workers: dict[str, worker_lib.EngineWorker] = {}
         self._silent_targets: set[str] = set()
         self._is_table_complete = False
@@ -414,7 +414,7 @@
         )
 
     def _allowed_store_loads(
-        self, engine: document_lib.Engine, now: float
+        self, engine: document_lib.EngineCapacity, now: float
     ) -> int:
         """Returns how many loads from the weight store may start now."""
         window = self._settings.bounds.store_window
@@ -428,7 +428,7 @@
         self,
         worker: worker_lib.EngineWorker,
         step: plan_types.Step,
-        engine: document_lib.Engine,
+        engine: document_lib.EngineCapacity,
     ) -> None:
         logs.event(
             "placement",
@@ -460,7 +460,7 @@
         self,
         worker: worker_lib.EngineWorker,
         step: plan_types.Step,
-        engine: document_lib.Engine,
+        engine: document_lib.EngineCapacity,
     ) -> None:
         started_at = clock.now()
         succeeded = False
@@ -488,7 +488,7 @@
         self,
         worker: worker_lib.EngineWorker,
         step: plan_types.Step,
-        engine: document_lib.Engine,
+        engine: document_lib.EngineCapacity,
     ) -> bool:
         if step.victims:
             await asyncio.sleep(_CLOSING_DELAY_SECONDS)
@@ -514,7 +514,7 @@
         self,
         worker: worker_lib.EngineWorker,
         victim: str,
-        engine: document_lib.Engine,
+        engine: document_lib.EngineCapacity,
     ) -> bool:
         if not await worker.order(load=False, model=victim, engine=engine):
             return False
--- a/packages/endivestream/src/endivestream/request/forward.py
+++ b/packages/endivestream/src/endivestream/request/forward.py
@@ -355,8 +355,8 @@
             return None
         progress.tried.append(progress.target)
         may_repeat = (
-            work.route.repeatable
-            and len(progress.tried) < work.route.attempts
+            work.route.is_repeatable
+            and len(progress.tried) < work.route.max_attempts
             and clock.now() < work.deadline
         )
         if may_repeat:
--- a/packages/endivestream/src/endivestream/request/generation.py
+++ b/packages/endivestream/src/endivestream/request/generation.py
@@ -74,11 +74,11 @@
     model = body.get("model")
     if not isinstance(model, str):
         return _invalid_request("'model' must name a model or adapter")
-    needs = rules.model_of(model)
+    needs = rules.base_model(model)
     if needs is None or model not in rules.allowed.get(team, ()):
         # Models that the team may not use are reported as unknown.
         available = [
-            n for n in rules.allowed.get(team, ()) if rules.model_of(n)
+            n for n in rules.allowed.get(team, ()) if rules.base_model(n)
         ]
         detail = findings.unknown_word("model", model, available)
         return findings.not_run("unknown_model", detail, status=404)
--- a/packages/endivestream/src/endivestream/request/patience.py
+++ b/packages/endivestream/src/endivestream/request/patience.py
@@ -133,7 +133,7 @@
     return max(
         _SILENCE_SECONDS,
         _SILENCE_OBJECTIVES * route.objective,
-        _SILENCE_GAPS * route.gap,
+        _SILENCE_GAPS * route.max_event_gap,
     )
 
 
--- a/packages/endivestream/src/endivestream/request/routes.py
+++ b/packages/endivestream/src/endivestream/request/routes.py
@@ -67,13 +67,13 @@
     The choice is a hash of the request's id, so that a repeat gets the same
     service.
     """
-    if len(route.choices) == 1:
-        return route.choices[0].service
-    total = sum(choice.weight for choice in route.choices)
+    if len(route.services) == 1:
+        return route.services[0].service
+    total = sum(weighted_service.weight for weighted_service in route.services)
     digest = hashlib.blake2b(request.encode(), digest_size=8).digest()
     point = int.from_bytes(digest, "big") / 2**64 * total
-    for choice in route.choices:
-        point -= choice.weight
+    for weighted_service in route.services:
+        point -= weighted_service.weight
         if point < 0:
-            return choice.service
-    return next(c.service for c in reversed(route.choices) if c.weight > 0)
+            return weighted_service.service
+    return next(c.service for c in reversed(route.services) if c.weight > 0)
--- a/packages/endivestream/src/endivestream/request/sending.py
+++ b/packages/endivestream/src/endivestream/request/sending.py
@@ -262,7 +262,7 @@
         self, work: admission.Work, progress: Progress
     ) -> float:
         """Returns the deadline of one attempt."""
-        has_further_attempts = len(progress.tried) + 1 < work.route.attempts
+        has_further_attempts = len(progress.tried) + 1 < work.route.max_attempts
         if (
             work.route.kind == document_lib.Kind.IDEMPOTENT
             and has_further_attempts
--- a/packages/endivestream/src/endivestream/version/configuration.py
+++ b/packages/endivestream/src/endivestream/version/configuration.py
@@ -404,14 +404,14 @@
                 return record
         return None
 
-    def update_since(self, have: int) -> Update:
+    def update_since(self, have_version: int) -> Update:
         """Returns the changes that a gateway at version `have` lacks.
 
         A version above the current one can only come from another history. It
         gets the complete configuration, and the receiver rejects the older
         version.
         """
-        base = have if 0 < have <= self._version else 0
+        base = have_version if 0 < have_version <= self._version else 0
         return Update(
             base=base,
             version=self._version,
@@ -443,7 +443,7 @@
         self._changes_by_id = {c.change_id: c for c in self._history}
 
 
-class View:
+class ConfigurationView:
     """A gateway's copy of the configuration; its version never decreases."""
 
     def __init__(self) -> None:
@@ -486,7 +486,7 @@
         self._version = update.version
         return revoked_keys
 
-    def key(self, presented: str) -> KeyRecord | None:
+    def find_key(self, presented: str) -> KeyRecord | None:
         """Returns the live key that matches a caller's secret, or None.
 
         The lookup is by digest: its timing could reveal only something about
--- a/packages/endivestream/src/endivestream/version/document.py
+++ b/packages/endivestream/src/endivestream/version/document.py
@@ -29,7 +29,7 @@
     STREAM = "stream"
 
 
-class Choice(NamedTuple):
+class WeightedService(NamedTuple):
     """One service of a route.
 
     Attributes:
@@ -52,14 +52,14 @@
         timeout: Maximum time until the complete answer, in seconds.
         objective: Time within which an answer has its full value, in seconds.
         priority: 0 is the most urgent.
-        choices: Services that answer it; the sum of weights is above 0.
-        attempts: Maximum number of targets that one attempt of a caller may be
-            sent to.
+        services: Services that answer it; the sum of weights is above 0.
+        max_attempts: Maximum number of targets that one attempt of a caller may
+            be sent to.
         anonymous: Whether requests need no key.
         resumable: Whether a stream may continue on another target, at a later
             event.
-        gap: Maximum pause between events that counts as in time, in seconds;
-            0 if none is set.
+        max_event_gap: Maximum pause between events that counts as in time, in
+            seconds; 0 if none is set.
     """
 
     name: str
@@ -69,14 +69,14 @@
     timeout: float
     objective: float
     priority: int
-    choices: tuple[Choice, ...]
-    attempts: int = 1
+    services: tuple[WeightedService, ...] = msgspec.field(name="choices")
+    max_attempts: int = msgspec.field(name="attempts", default=1)
     anonymous: bool = False
     resumable: bool = False
-    gap: float = 0.0
+    max_event_gap: float = msgspec.field(name="gap", default=0.0)
 
     @property
-    def repeatable(self) -> bool:
+    def is_repeatable(self) -> bool:
         """Whether a request may be sent again after it may have run."""
         return self.kind == Kind.IDEMPOTENT or self.resumable
 
@@ -103,7 +103,7 @@
     adapter_mb: float = 0.0
 
 
-class Engine(msgspec.Struct, frozen=True, kw_only=True):
+class EngineCapacity(msgspec.Struct, frozen=True, kw_only=True):
     """Capacity and models of the engines of one service.
 
     Attributes:
@@ -136,7 +136,7 @@
     name: str
     health_path: str
     connections: int
-    engine: Engine | None = None
+    engine: EngineCapacity | None = None
 
 
 class Team(msgspec.Struct, frozen=True, kw_only=True):
@@ -217,14 +217,14 @@
     changed: bool
 
 
-class Holder:
+class DocumentState:
     """The document in force, in the replicated state."""
 
     def __init__(self) -> None:
         self.current: Document | None = None
 
     def __repr__(self) -> str:
-        return f"<Holder version {self.version}>"
+        return f"<DocumentState version {self.version}>"
 
     @property
     def version(self) -> int:
@@ -268,13 +268,13 @@
 
 def _check_route(route: Route, services: set[str]) -> list[str]:
     errors = [
-        findings.unknown_word("service", choice.service, services)
-        for choice in route.choices
-        if choice.service not in services
+        findings.unknown_word("service", weighted_service.service, services)
+        for weighted_service in route.services
+        if weighted_service.service not in services
     ]
-    if sum(choice.weight for choice in route.choices) <= 0:
+    if sum(weighted_service.weight for weighted_service in route.services) <= 0:
         errors.append("the weights of its services add up to 0")
-    if any(choice.weight < 0 for choice in route.choices):
+    if any(weighted_service.weight < 0 for weighted_service in route.services):
         errors.append("a weight is below 0")
     if route.timeout <= 0:
         errors.append(f"timeout {route.timeout:g} s; it must be above 0")
--- a/packages/endivestream/src/endivestream/version/plan.py
+++ b/packages/endivestream/src/endivestream/version/plan.py
@@ -87,7 +87,7 @@
 
 def plan(
     *,
-    capacity: document_lib.Engine,
+    capacity: document_lib.EngineCapacity,
     engines: Sequence[plan_types.EngineState],
     demands: Mapping[str, plan_types.ModelDemand],
     store_loads: int,
@@ -118,7 +118,7 @@
 
     def __init__(
         self,
-        capacity: document_lib.Engine,
+        capacity: document_lib.EngineCapacity,
         engines: Sequence[plan_types.EngineState],
         demands: Mapping[str, plan_types.ModelDemand],
         store_loads: int,
--- a/packages/endivestream/src/endivestream/version/rules.py
+++ b/packages/endivestream/src/endivestream/version/rules.py
@@ -115,7 +115,7 @@
     keys: Mapping[str, Key]
     allowed: Mapping[str, frozenset[str]]
 
-    def model_of(self, name: str) -> str | None:
+    def base_model(self, name: str) -> str | None:
         """Returns the model that serves a model or adapter name, or None."""
         if name in self.models:
             return name
--- a/packages/endivestream/src/endivestream/version/state.py
+++ b/packages/endivestream/src/endivestream/version/state.py
@@ -98,7 +98,7 @@
         self.calls = calls_lib.Calls()
         self.ledger = ledger_lib.Ledger()
         self.credit = credit_lib.Credit()
-        self.document = document_lib.Holder()
+        self.document = document_lib.DocumentState()
         self.departures = departures_lib.Departures()
         self.planner_lease = planner_lease_lib.PlannerLease()
 
--- a/tests/placement_site.py
+++ b/tests/placement_site.py
@@ -38,11 +38,11 @@
     timeout=15.0,
     objective=0.8,
     priority=1,
-    choices=(document_lib.Choice(SERVICE, 1),),
-    attempts=2,
+    services=(document_lib.WeightedService(SERVICE, 1),),
+    max_attempts=2,
     anonymous=True,
     resumable=False,
-    gap=0.3,
+    max_event_gap=0.3,
 )
 
 
@@ -64,7 +64,7 @@
 
 
 def document(*, models, places, adapters=8, loads_per_second=3.0):
-    engine = document_lib.Engine(
+    engine = document_lib.EngineCapacity(
         slots=64,
         cache_tokens=100_000,
         weights_mb=70.0 * places + adapters,
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -116,7 +116,7 @@
         order.
         """
         state = configuration.Configuration()
-        view = configuration.View()
+        view = configuration.ConfigurationView()
         updates = []
         for number, (kind, key_number) in enumerate(steps):
             match kind:
--- a/tests/test_document.py
+++ b/tests/test_document.py
@@ -13,7 +13,7 @@
         "timeout": 1.0,
         "objective": 0.5,
         "priority": 1,
-        "choices": (document_lib.Choice("desk", 1),),
+        "services": (document_lib.WeightedService("desk", 1),),
     }
     return document_lib.Route(name=name, **(values | fields))
 
@@ -42,9 +42,9 @@
         self.assertEqual(document_lib.check(document()), [])
 
     def test_unknown_service_names_the_valid_ones(self):
-        choices = (document_lib.Choice("dask", 1),)
+        services = (document_lib.WeightedService("dask", 1),)
         self._assert_finding(
-            document(routes=[route(choices=choices)]), "'desk'"
+            document(routes=[route(services=services)]), "'desk'"
         )
 
     def test_two_routes_with_equal_host_and_prefix(self):
@@ -56,9 +56,9 @@
         )
 
     def test_weights_must_add_up_to_more_than_zero(self):
-        choices = (document_lib.Choice("desk", 0),)
+        services = (document_lib.WeightedService("desk", 0),)
         self._assert_finding(
-            document(routes=[route(choices=choices)]), "add up to 0"
+            document(routes=[route(services=services)]), "add up to 0"
         )
 
     def test_timeout_must_be_positive(self):
@@ -77,7 +77,9 @@
         self.assertNotIn("secret-1", str(document_lib.check(checked)))
 
     def test_all_errors_are_reported_together(self):
-        invalid = route(timeout=0.0, choices=(document_lib.Choice("none", 0),))
+        invalid = route(
+            timeout=0.0, services=(document_lib.WeightedService("none", 0),)
+        )
         self.assertEqual(len(document_lib.check(document(routes=[invalid]))), 3)
 
 
@@ -92,7 +94,7 @@
         first document with the highest version is in force, and the version
         never decreases.
         """
-        holder = document_lib.Holder()
+        holder = document_lib.DocumentState()
         highest = 0
         for arrival, version in enumerate(versions):
             source = b"%d at %d" % (version, arrival)
--- a/tests/test_forward.py
+++ b/tests/test_forward.py
@@ -29,11 +29,11 @@
 
 ONCE = test_document.route(timeout=5.0)
 IDEMPOTENT = test_document.route(
-    kind=document_lib.Kind.IDEMPOTENT, attempts=2, timeout=5.0
+    kind=document_lib.Kind.IDEMPOTENT, max_attempts=2, timeout=5.0
 )
 STREAM = test_document.route(kind=document_lib.Kind.STREAM, timeout=5.0)
 RESUMABLE = test_document.route(
-    kind=document_lib.Kind.STREAM, resumable=True, attempts=2, timeout=5.0
+    kind=document_lib.Kind.STREAM, resumable=True, max_attempts=2, timeout=5.0
 )
 
 
@@ -754,7 +754,7 @@
         """Guards against requests that wait for a target that never answers."""
         route = test_document.route(
             kind=document_lib.Kind.IDEMPOTENT,
-            attempts=2,
+            max_attempts=2,
             timeout=5.0,
             objective=0.05,
         )
@@ -919,7 +919,7 @@
 
 class ModelTest(ForwardTest):
     def _serve_model(self, objective=0.5):
-        engine = document_lib.Engine(
+        engine = document_lib.EngineCapacity(
             slots=8,
             cache_tokens=1,
             weights_mb=1,
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -203,7 +203,7 @@
             seconds=5,
         )
         self.assertEqual(len(answer.update.keys), 302)
-        view = configuration.View()
+        view = configuration.ConfigurationView()
         complete = await control.ask(
             messages.Watch(host=control.host, have=0, running=0), seconds=5
         )
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -11,7 +11,10 @@
 from tests import test_document
 
 CHAT = test_document.route(
-    kind=document_lib.Kind.STREAM, timeout=12.0, objective=0.4, gap=0.3
+    kind=document_lib.Kind.STREAM,
+    timeout=12.0,
+    objective=0.4,
+    max_event_gap=0.3,
 )
 ORDER = test_document.route(timeout=0.6, objective=0.1)
 TIMES = st.floats(0.0, 1e6)
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -10,7 +10,7 @@
 
 
 def engine(models="abcdefgh", model_slots=3, adapters=0):
-    return document_lib.Engine(
+    return document_lib.EngineCapacity(
         slots=64,
         cache_tokens=100_000,
         weights_mb=MODEL_SIZE_MB * model_slots + 10 + adapters,
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -51,11 +51,11 @@
 
 class SplitTest(unittest.TestCase):
     def test_requests_are_split_by_weight(self):
-        choices = tuple(
-            document_lib.Choice(*each)
+        services = tuple(
+            document_lib.WeightedService(*each)
             for each in (("a", 90), ("none", 0), ("b", 10))
         )
-        route = test_document.route(choices=choices)
+        route = test_document.route(services=services)
         picked = [
             routes_lib.pick_service(route, f"request {n}") for n in range(2000)
         ]
@@ -63,7 +63,10 @@
         self.assertAlmostEqual(picked.count("b") / 2000, 0.1, delta=0.03)
 
     def test_a_repeated_request_gets_the_same_service(self):
-        choices = (document_lib.Choice("a", 1), document_lib.Choice("b", 1))
-        route = test_document.route(choices=choices)
+        services = (
+            document_lib.WeightedService("a", 1),
+            document_lib.WeightedService("b", 1),
+        )
+        route = test_document.route(services=services)
         picked = {routes_lib.pick_service(route, "one") for _ in range(9)}
         self.assertEqual(len(picked), 1)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -18,7 +18,7 @@
         parsed = rules.parse(VALID_RULES)
         self.assertIsInstance(parsed, rules.Rules)
         self.assertEqual(parsed.teams["workshops"].burst, 4000)
-        self.assertEqual(parsed.model_of("horns"), "brass")
+        self.assertEqual(parsed.base_model("horns"), "brass")
         self.assertFalse(parsed.services["desk"].idempotent)
         self.assertEqual(
             parsed.allowed["workshops"], {"brass", "horns", "desk"}
--- a/tests/test_site_planner.py
+++ b/tests/test_site_planner.py
@@ -52,7 +52,7 @@
         )
         for name in "abcdef"
     )
-    engine = document_lib.Engine(
+    engine = document_lib.EngineCapacity(
         slots=8,
         cache_tokens=1,
         weights_mb=10.0 * PLACES + ADAPTERS,
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -73,7 +73,10 @@
         Sent together, the prompts would pause all streams of the engine.
         """
         route = test_document.route(
-            kind=document_lib.Kind.STREAM, timeout=12.0, objective=0.8, gap=0.3
+            kind=document_lib.Kind.STREAM,
+            timeout=12.0,
+            objective=0.8,
+            max_event_gap=0.3,
         )
         turns, loaded_at = turns_lib.Turns(), 1000.0
         rng = random.Random(5)
