--- a/benchmarks/capacity/pure.py
+++ b/benchmarks/capacity/pure.py
@@ -72,19 +72,19 @@
     for targets in (16, 64, 256, 650):
         scheduler = scheduler_lib.Scheduler()
         for n in range(targets):
-            scheduler.put_target(
+            scheduler.upsert_target(
                 scheduler_lib.Target(f"t{n}", frozenset(["m"]), 64, n % 9)
             )
 
         def workload(scheduler: scheduler_lib.Scheduler = scheduler) -> None:
             for n in range(200):
-                ask = scheduler_lib.Ask(
+                ask = scheduler_lib.SlotRequest(
                     str(n), f"team{n % 5}", 1, "m", 100, 1e9, frozenset()
                 )
-                scheduler.ask(ask, now=0.0)
+                scheduler.request_slot(ask, now=0.0)
             for n in range(200):
                 scheduler.release(str(n), tokens=50)
-                scheduler.ready(0.0)
+                scheduler.grant_free_slots(0.0)
 
         points.append((float(targets), _min_seconds(workload) / 200))
     return fit.line(points)
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -46,7 +46,7 @@
 class LeastLoaded(scheduler_lib.Scheduler):
     """Chooses the target with the least load; ignores prefix caches."""
 
-    def _unread(self, target: Any, ask: Any) -> float:
+    def _uncached_tokens(self, target: Any, slot_request: Any) -> float:
         return 0.0
 
 
@@ -56,16 +56,17 @@
     rng = random.Random(5)
     choices = 1
 
-    def _best(self, ask: Any, now: float) -> Any:
+    def _best_target(self, slot_request: Any, now: float) -> Any:
         fitting = [
             t
             for t in self.targets.values()
-            if ask.needs in t.serves and self.held(t.name) < t.slots
+            if slot_request.needs in t.serves
+            and self.slots_in_use(t.name) < t.slots
         ]
         if not fitting:
             return None
         candidates = [self.rng.choice(fitting) for _ in range(self.choices)]
-        return min(candidates, key=self._load)
+        return min(candidates, key=self._expected_backlog)
 
 
 class TwoChoices(RandomChoice):
@@ -131,7 +132,7 @@
                     f"{session}.{turn}",
                     team,
                     model,
-                    tuple(blocks[: prefixes.MOST_BLOCKS]),
+                    tuple(blocks[: prefixes.MAX_HASHED_BLOCKS]),
                     tokens,
                 )
             )
@@ -164,7 +165,7 @@
                 engine = (model * 7 + copy * 3) % _ENGINES
                 serving[f"e{engine}"].add(f"m{model}")
         for name in self.engines:
-            scheduler.put_target(
+            scheduler.upsert_target(
                 scheduler_lib.Target(name, frozenset(serving[name]), _SLOTS, 0)
             )
 
@@ -176,7 +177,7 @@
         while self.events:
             now, _, kind, request = heapq.heappop(self.events)
             if kind == "ask":
-                ask = scheduler_lib.Ask(
+                slot_request = scheduler_lib.SlotRequest(
                     request.name,
                     request.team,
                     1,
@@ -186,12 +187,12 @@
                     frozenset(),
                     request.blocks,
                 )
-                answer = self.scheduler.ask(ask, now=now)
+                answer = self.scheduler.request_slot(slot_request, now=now)
                 if isinstance(answer, scheduler_lib.Grant):
                     self._start(answer, now)
             else:
                 self.scheduler.release(request.name)
-            for grant in self.scheduler.ready(now):
+            for grant in self.scheduler.grant_free_slots(now):
                 self._start(grant, now)
 
     def _start(self, grant: scheduler_lib.Grant, now: float) -> None:
--- a/packages/endivestream/src/endivestream/process/dispatcher.py
+++ b/packages/endivestream/src/endivestream/process/dispatcher.py
@@ -86,12 +86,12 @@
             session = self.targets.sessions.get(name)
             is_known = name in self._scheduler.targets
             if session is not None and self.targets.is_live(session, now):
-                self._scheduler.put_target(_scheduler_target(session))
+                self._scheduler.upsert_target(_scheduler_target(session))
                 if not is_known:
                     logs.event("target_live", target=name)
                     self._target_added.set()
             elif is_known:
-                self._scheduler.drop_target(name)
+                self._scheduler.remove_target(name)
                 logs.warn("target_unavailable", target=name)
 
     def _expire_requests(self, now: float) -> None:
@@ -99,7 +99,7 @@
             self._set_answer(expired.request, None)
 
     def _grant_ready(self, now: float) -> None:
-        for grant in self._scheduler.ready(now):
+        for grant in self._scheduler.grant_free_slots(now):
             if not self._set_answer(grant.request, grant):
                 self._scheduler.release(grant.request, tokens=0)
 
@@ -123,7 +123,7 @@
         refusal = self.targets.announce(info, now)
         if not refusal:
             if previous and previous.info.incarnation != info.incarnation:
-                self._scheduler.forget(info.name)
+                self._scheduler.clear_history(info.name)
             self._update_targets([info.name], now)
             self._grant_ready(now)
         return refusal
@@ -163,7 +163,7 @@
             return _timeout_refusal(message)
         now = time.monotonic()
         team = self._teams.get(message.team)
-        slot_request = scheduler_lib.Ask(
+        slot_request = scheduler_lib.SlotRequest(
             message.request,
             message.team,
             team.weight if team else 1,
@@ -173,7 +173,7 @@
             frozenset(message.avoid),
             message.blocks,
         )
-        answer = self._scheduler.ask(slot_request, now=now)
+        answer = self._scheduler.request_slot(slot_request, now=now)
         if isinstance(answer, scheduler_lib.NoTarget):
             return _no_target_refusal(message.needs)
         if isinstance(answer, scheduler_lib.Queued):
@@ -261,7 +261,7 @@
         if host is not None:
             self._requests_by_host[host].discard(completion.request)
         if completion.failed or completion.answered:
-            ejected_target = self._scheduler.ended(
+            ejected_target = self._scheduler.record_outcome(
                 completion.request, failed=completion.failed, now=now
             )
             if ejected_target:
--- a/packages/endivestream/src/endivestream/process/entry.py
+++ b/packages/endivestream/src/endivestream/process/entry.py
@@ -40,13 +40,13 @@
 from endivestream.request import admission
 from endivestream.request import allowance as allowance_lib
 from endivestream.request import call as call_lib
-from endivestream.request import choice as choice_lib
 from endivestream.request import demand as demand_lib
 from endivestream.request import forward as forward_lib
 from endivestream.request import forward_parts
 from endivestream.request import names as names_lib
 from endivestream.request import rate_limits as rate_limits_lib
 from endivestream.request import routes as routes_lib
+from endivestream.request import target_selection
 from endivestream.request import unserved as unserved_lib
 from endivestream.version import document as document_lib
 
@@ -85,7 +85,7 @@
         self._meter = loop_meter.LoopMeter()
         self._pool = exchange_lib.Pool()
         self._limits = rate_limits_lib.RateLimits()
-        self._view = choice_lib.View(
+        self._view = target_selection.TargetView(
             domain=settings.domain, limits=self._limits
         )
         self._allowance = allowance_lib.Allowance()
@@ -93,8 +93,8 @@
         self._position = site_messages.Position()
         self._entry_hosts: tuple[site_messages.EntryHost, ...] = ()
         self._unlisted_since: dict[str, float] = {}
-        self._demand = demand_lib.Meters(now=clock.now())
-        self._unserved = unserved_lib.Unserved()
+        self._demand = demand_lib.RequestRates(now=clock.now())
+        self._unserved = unserved_lib.UnservedModels()
         self._waiting_objectives: dict[tuple[str, str, str], list[float]] = {}
         self._change_event = asyncio.Event()
         self._draining = False
@@ -314,7 +314,7 @@
                 rates.get(key, 0.0),
                 len(self._waiting_objectives.get(key, ())),
                 min(self._waiting_objectives.get(key) or [0.0]),
-                round(self._unserved.seconds(key, now), 1),
+                round(self._unserved.unserved_seconds(key, now), 1),
             )
             for key in {*rates, *self._waiting_objectives}
         )
@@ -418,7 +418,7 @@
         for target in news.targets:
             self._unlisted_since.pop(target.said.name, None)
         self._view.set_targets(news.targets, removed, clock.now())
-        self._limits.forget(self._view.targets.keys(), clock.now())
+        self._limits.remove_stale(self._view.targets.keys(), clock.now())
         if news.entries is not None:
             self._entry_hosts = news.entries
             self._turn_desk.set_hosts(news.entries)
@@ -488,7 +488,9 @@
             self._demand.count(key, clock.now())
 
     def _on_target_found(self, work: admission.Work) -> None:
-        self._unserved.served((work.service.name, work.model, work.adapter))
+        self._unserved.record_service(
+            (work.service.name, work.model, work.adapter)
+        )
 
     def _report_missing(self, work: admission.Work) -> Callable[[], None]:
         """Reports to the leader that a request waits for a model.
@@ -498,14 +500,14 @@
         """
         key = (work.service.name, work.model, work.adapter)
         now = clock.now()
-        self._unserved.missed(key, now)
+        self._unserved.record_miss(key, now)
         waiting = self._waiting_objectives.setdefault(key, [])
         waiting.append(work.route.objective)
         if len(waiting) == 1:
             # Sent immediately: waiting for the next renewal would take a third
             # of a second.
             rate = self._demand.rates(now).get(key, 0.0)
-            unserved = self._unserved.seconds(key, now)
+            unserved = self._unserved.unserved_seconds(key, now)
             demand = site_messages.Demand(
                 *key, rate, 1, work.route.objective, unserved
             )
--- a/packages/endivestream/src/endivestream/process/entry_rate_limits.py
+++ b/packages/endivestream/src/endivestream/process/entry_rate_limits.py
@@ -96,7 +96,7 @@
                 return
         now = clock.now()
         before = self._limits.rate(registration.name, registration.born)
-        if not self._limits.heard(
+        if not self._limits.record_answer(
             registration.name, registration.born, rate, now
         ):
             return
--- a/packages/endivestream/src/endivestream/process/site_leading.py
+++ b/packages/endivestream/src/endivestream/process/site_leading.py
@@ -296,7 +296,7 @@
             else self._rate_limits.rate(target, started_at)
         )
         if rate is not None:
-            self._send_slots.spent(target, started_at, rate, clock.now())
+            self._send_slots.count_send(target, started_at, rate, clock.now())
 
     def _merge_rate_limits(
         self, limits: Iterable[site_messages.RateLimit]
@@ -394,7 +394,7 @@
         if not changed:
             return
         self._lease_manager.reported(registration)
-        if self._rate_limits.forget_before(
+        if self._rate_limits.remove_older_starts(
             registration.name, registration.born
         ):
             self._lease_manager.set_limits(self._rate_limits.rates)
@@ -625,7 +625,7 @@
         known_names = {*sessions, *self._registry.departed}
         self._table_updates.forget_all_but(known_names)
         self._confirmations.forget_all_but(known_names)
-        self._rate_limits.forget(sessions.keys(), now)
+        self._rate_limits.remove_stale(sessions.keys(), now)
         self._send_slots.forget(self._rate_limits.rates)
         for name, session in sessions.items():
             if (
--- a/packages/endivestream/src/endivestream/process/turn_desk.py
+++ b/packages/endivestream/src/endivestream/process/turn_desk.py
@@ -51,7 +51,7 @@
         self._meter = meter or loop_meter.LoopMeter()
         self._name = name
         self._context = context
-        self._turns = turns_lib.Turns()
+        self._turns = turns_lib.PrefillTurns()
         self._hosts: tuple[site_messages.EntryHost, ...] = ()
         self._links: dict[str, links.Link] = {}
         self._silent_until: dict[str, float] = {}
--- a/packages/endivestream/src/endivestream/request/demand.py
+++ b/packages/endivestream/src/endivestream/request/demand.py
@@ -42,7 +42,7 @@
         self.updated_at = now
 
 
-class Meters:
+class RequestRates:
     """Request rates by service, model and adapter."""
 
     def __init__(self, *, now: float) -> None:
@@ -50,7 +50,7 @@
         self._meters: dict[tuple[str, str, str], _Meter] = {}
 
     def __repr__(self) -> str:
-        return f"<Meters of {len(self._meters)} models and adapters>"
+        return f"<RequestRates of {len(self._meters)} models and adapters>"
 
     def count(self, key: tuple[str, str, str], now: float) -> None:
         """Counts one request."""
--- a/packages/endivestream/src/endivestream/request/forward.py
+++ b/packages/endivestream/src/endivestream/request/forward.py
@@ -2,7 +2,7 @@
 
     admission   checks lease, route and key; a refusal here means "not run"
     credit      charges the team, from this host's credit shares
-    choice      picks a target, waiting for one if it can still be in time
+    selection   picks a target, waiting for one if it can still be in time
     sending     makes one attempt at one target and relays its answer
     repeat      uses another target if nothing ran or running twice is allowed
 
@@ -23,11 +23,11 @@
 from endivestream import logs
 from endivestream.request import admission
 from endivestream.request import call as call_lib
-from endivestream.request import choice as choice_lib
 from endivestream.request import forward_parts
 from endivestream.request import lease_queue
 from endivestream.request import patience as patience_lib
 from endivestream.request import sending
+from endivestream.request import target_selection
 from endivestream.version import document as document_lib
 
 # Multiple of the route's objective for which a request waits for an engine
@@ -258,7 +258,7 @@
         while True:
             progress.stage = "place"
             target = await self._wait_for_target(work, progress)
-            if isinstance(target, choice_lib.Picked) and (
+            if isinstance(target, target_selection.Selected) and (
                 await self._wait_for_prefill_turn(work, progress, target)
             ):
                 # Targets may have changed during the wait.
@@ -291,7 +291,7 @@
         self,
         work: admission.Work,
         progress: sending.Progress,
-        picked: choice_lib.Picked,
+        picked: target_selection.Selected,
     ) -> bool:
         """Waits for a rate-limited target; returns whether to send now."""
         registration = picked.target.said
@@ -308,7 +308,9 @@
             view.block(registration.name, clock.now() + retry_seconds)
             return False
         # The target may have begun to drain or to unload the model meanwhile.
-        return view.still_takes(registration, sending.ask(work, progress))
+        return view.is_usable(
+            registration, sending.target_requirements(work, progress)
+        )
 
     async def _acquire_repeat(self, work: admission.Work) -> bool:
         service = work.service.name
@@ -324,7 +326,7 @@
     ) -> findings.Failure | None:
         progress.refusals += 1
         if refusal.what:
-            self._parts.view.denied(progress.target, refusal.what)
+            self._parts.view.record_denied(progress.target, refusal.what)
         remaining = work.deadline - clock.now()
         if (
             progress.refusals >= _MAX_REFUSALS
@@ -420,7 +422,7 @@
 
     async def _wait_for_target(
         self, work: admission.Work, progress: sending.Progress
-    ) -> choice_lib.Picked | findings.Failure:
+    ) -> target_selection.Selected | findings.Failure:
         """Returns a target, waiting for one if it can still be in time."""
         free_slot_deadline = (
             work.came + work.route.objective * _FREE_SLOT_OBJECTIVES
@@ -436,13 +438,13 @@
                 now = clock.now()
                 if self._parts.rules.lease_until() < now:
                     return admission.no_lease()
-                requirements = sending.ask(
-                    work, progress, waits=now < free_slot_deadline
+                requirements = sending.target_requirements(
+                    work, progress, can_wait=now < free_slot_deadline
                 )
                 pick = self._parts.view.pick(
                     requirements, now, limit=work.limit
                 )
-                if isinstance(pick, choice_lib.Picked):
+                if isinstance(pick, target_selection.Selected):
                     self._parts.found(work)
                     return pick
                 if (
@@ -480,7 +482,7 @@
         self,
         work: admission.Work,
         progress: sending.Progress,
-        picked: choice_lib.Picked,
+        picked: target_selection.Selected,
     ) -> bool:
         """Waits for the prefill turn; returns False if there is no wait."""
         if progress.sends or not work.prompt or work.service.engine is None:
--- a/packages/endivestream/src/endivestream/request/forward_parts.py
+++ b/packages/endivestream/src/endivestream/request/forward_parts.py
@@ -9,8 +9,8 @@
 from endivestream.connection import exchange as exchange_lib
 from endivestream.connection import registry as registry_lib
 from endivestream.request import admission
-from endivestream.request import choice as choice_lib
 from endivestream.request import repeats as repeats_lib
+from endivestream.request import target_selection
 from endivestream.version import document as document_lib
 
 
@@ -77,7 +77,7 @@
     """
 
     rules: admission.Rules
-    view: choice_lib.View
+    view: target_selection.TargetView
     pool: exchange_lib.Pool
     credit: Credit
     repeats: Callable[[str], repeats_lib.RepeatBudget]
--- a/packages/endivestream/src/endivestream/request/outliers.py
+++ b/packages/endivestream/src/endivestream/request/outliers.py
@@ -44,14 +44,16 @@
     def __repr__(self) -> str:
         return f"<Outliers among {len(self._records)} failing targets>"
 
-    def ended(self, target: str, *, failed: bool, now: float, of: int) -> bool:
+    def record_attempt(
+        self, target: str, *, failed: bool, now: float, pool_size: int
+    ) -> bool:
         """Records the result of an attempt.
 
         Args:
             target: Target that the attempt ran on.
             failed: Whether the attempt failed because of the target.
             now: Current time.
-            of: Number of targets in the pool.
+            pool_size: Number of targets in the pool.
 
         Returns:
             Whether this failure ejected the target.
@@ -64,7 +66,7 @@
         if failures < _EJECTION_FAILURES and not record.ejections:
             self._records[target] = record._replace(failures=failures)
             return False
-        if record.probe_at <= now and not self._may_eject(now, of):
+        if record.probe_at <= now and not self._may_eject(now, pool_size):
             self._records[target] = record._replace(failures=failures)
             return False
         ejection_seconds = min(
@@ -75,20 +77,20 @@
         )
         return True
 
-    def _may_eject(self, now: float, of: int) -> bool:
+    def _may_eject(self, now: float, pool_size: int) -> bool:
         ejected = sum(
             record.probe_at > now for record in self._records.values()
         )
-        return ejected + 1 <= of * _MAX_EJECTED_SHARE
+        return ejected + 1 <= pool_size * _MAX_EJECTED_SHARE
 
-    def may_get(self, target: str, now: float) -> bool:
+    def is_allowed(self, target: str, now: float) -> bool:
         """Returns whether a target may get a request."""
         record = self._records.get(target)
         if record is None or not record.ejections:
             return True
         return record.probe_at <= now
 
-    def granted(self, target: str, now: float) -> None:
+    def record_grant(self, target: str, now: float) -> None:
         """Records a grant; an ejected target gets a single probe request.
 
         If the probe ends without a result, for example because its caller
--- a/packages/endivestream/src/endivestream/request/prefixes.py
+++ b/packages/endivestream/src/endivestream/request/prefixes.py
@@ -17,7 +17,7 @@
 BLOCK_BYTES = 256
 # Maximum number of blocks hashed per request; the rest of a longer prompt is
 # ignored.
-MOST_BLOCKS = 32
+MAX_HASHED_BLOCKS = 32
 # Maximum number of hints per target; each takes about 100 bytes.
 _MAX_BLOCKS_PER_TARGET = 4096
 
@@ -26,7 +26,7 @@
     """Returns the hashes of a prompt's complete blocks, in order."""
     digest = hashlib.blake2b(digest_size=8)
     hashes = []
-    last_start = min(len(text), MOST_BLOCKS * BLOCK_BYTES) - BLOCK_BYTES
+    last_start = min(len(text), MAX_HASHED_BLOCKS * BLOCK_BYTES) - BLOCK_BYTES
     for start in range(0, last_start + 1, BLOCK_BYTES):
         digest.update(text[start : start + BLOCK_BYTES])
         hashes.append(int.from_bytes(digest.digest()))
--- a/packages/endivestream/src/endivestream/request/rate_limits.py
+++ b/packages/endivestream/src/endivestream/request/rate_limits.py
@@ -85,7 +85,7 @@
         report = self._reports.get(target)
         return now - report.reported_at if report else math.inf
 
-    def heard(
+    def record_answer(
         self, target: str, born: int, rate: float | None, now: float
     ) -> bool:
         """Records the limit in an answer of a target.
@@ -155,7 +155,7 @@
             if targets is None or name in targets
         )
 
-    def forget_before(self, target: str, born: int) -> bool:
+    def remove_older_starts(self, target: str, born: int) -> bool:
         """Removes the report of an earlier start of a target.
 
         Returns:
@@ -167,7 +167,7 @@
         del self._reports[target]
         return report.rate is not None
 
-    def forget(self, targets: Collection[str], now: float) -> None:
+    def remove_stale(self, targets: Collection[str], now: float) -> None:
         """Removes limits that ended long ago and old ones of removed targets.
 
         Args:
--- a/packages/endivestream/src/endivestream/request/scheduler.py
+++ b/packages/endivestream/src/endivestream/request/scheduler.py
@@ -24,7 +24,7 @@
 _TOKENS_PER_BLOCK = prefixes.BLOCK_BYTES // 4
 
 
-class Ask(NamedTuple):
+class SlotRequest(NamedTuple):
     """A request for a slot on a target.
 
     Attributes:
@@ -52,7 +52,7 @@
     """A granted slot on a target.
 
     Attributes:
-        request: Id from the `Ask`.
+        request: Id from the `SlotRequest`.
         target: The target's name.
         reason: Why this target was chosen, for the log.
         waited: Seconds in the queue.
@@ -90,8 +90,8 @@
     """The request waits for a free slot."""
 
 
-class _QueuedAsk(NamedTuple):
-    ask: Ask
+class _QueuedRequest(NamedTuple):
+    slot_request: SlotRequest
     since: float
 
 
@@ -100,7 +100,7 @@
 
     def __init__(self) -> None:
         self.virtual_tokens = 0.0
-        self.queues: dict[str, collections.deque[_QueuedAsk]] = {}
+        self.queues: dict[str, collections.deque[_QueuedRequest]] = {}
 
     @property
     def active(self) -> bool:
@@ -112,7 +112,7 @@
 
     def __init__(self) -> None:
         self._targets: dict[str, Target] = {}
-        self._held: dict[str, dict[str, Ask]] = {}
+        self._held: dict[str, dict[str, SlotRequest]] = {}
         self._teams: dict[str, _TeamQueues] = {}
         self._granted_targets: dict[str, str] = {}
         self._queued_requests: set[str] = set()
@@ -134,7 +134,7 @@
             for queue in team.queues.values()
         )
 
-    def held(self, target: str) -> int:
+    def slots_in_use(self, target: str) -> int:
         """Returns the number of slots in use on a target."""
         return len(self._held.get(target, ()))
 
@@ -144,11 +144,11 @@
             f"{len(self._granted_targets)} running, {self.waiting} waiting>"
         )
 
-    def put_target(self, target: Target) -> None:
+    def upsert_target(self, target: Target) -> None:
         """Adds a target, or replaces its record."""
         self._targets[target.name] = target
 
-    def drop_target(self, name: str) -> None:
+    def remove_target(self, name: str) -> None:
         """Stops granting slots on a target.
 
         Its grants stay counted until they are released: the target may be
@@ -163,27 +163,31 @@
             for target in self._targets.values()
         )
 
-    def ask(self, ask: Ask, *, now: float) -> Grant | Queued | NoTarget:
-        """Requests a slot; a queued request is granted by `ready` later.
+    def request_slot(
+        self, slot_request: SlotRequest, *, now: float
+    ) -> Grant | Queued | NoTarget:
+        """Requests a slot; queued ones are granted by `grant_free_slots`.
 
         Idempotent: a request that is sent again, as after a lost connection,
         keeps its slot or its position in the queue.
         """
-        granted_target = self._granted_targets.get(ask.request)
+        granted_target = self._granted_targets.get(slot_request.request)
         if granted_target is not None:
-            return Grant(ask.request, granted_target, "asked_again", 0.0)
-        if ask.request in self._queued_requests:
+            return Grant(
+                slot_request.request, granted_target, "asked_again", 0.0
+            )
+        if slot_request.request in self._queued_requests:
             return Queued()
-        if not self.serves(ask.needs, ask.avoid):
+        if not self.serves(slot_request.needs, slot_request.avoid):
             return NoTarget()
-        team = self._activate_team(ask.team)
-        if not team.queues.get(ask.needs):
-            target = self._best(ask, now)
+        team = self._activate_team(slot_request.team)
+        if not team.queues.get(slot_request.needs):
+            target = self._best_target(slot_request, now)
             if target is not None:
-                return self._grant(ask, target, now, waited=0.0)
-        queue = team.queues.setdefault(ask.needs, collections.deque())
-        queue.append(_QueuedAsk(ask, now))
-        self._queued_requests.add(ask.request)
+                return self._grant(slot_request, target, now, waited=0.0)
+        queue = team.queues.setdefault(slot_request.needs, collections.deque())
+        queue.append(_QueuedRequest(slot_request, now))
+        self._queued_requests.add(slot_request.request)
         return Queued()
 
     def _activate_team(self, name: str) -> _TeamQueues:
@@ -203,28 +207,33 @@
             )
         return team
 
-    def _best(self, ask: Ask, now: float) -> Target | None:
+    def _best_target(
+        self, slot_request: SlotRequest, now: float
+    ) -> Target | None:
         """Returns the target with the lowest expected time to first token."""
         eligible = [
             target
             for target in self._targets.values()
-            if ask.needs in target.serves
-            and target.name not in ask.avoid
-            and self.held(target.name) < target.slots
+            if slot_request.needs in target.serves
+            and target.name not in slot_request.avoid
+            and self.slots_in_use(target.name) < target.slots
         ]
         # If all targets are ejected, an ejected one is used.
-        healthy = [t for t in eligible if self._outliers.may_get(t.name, now)]
+        healthy = [
+            t for t in eligible if self._outliers.is_allowed(t.name, now)
+        ]
         eligible = healthy or eligible
         if not eligible:
             return None
-        affinity_bound = self._affinity_bound(ask.needs)
+        affinity_bound = self._affinity_bound(slot_request.needs)
         return min(
             eligible,
             key=lambda t: (
                 # Prefix affinity may not overload a target: above the bound
                 # it ranks after all others, however much it has cached.
-                self.held(t.name) >= affinity_bound,
-                self._load(t) + self._unread(t, ask),
+                self.slots_in_use(t.name) >= affinity_bound,
+                self._expected_backlog(t)
+                + self._uncached_tokens(t, slot_request),
                 t.name,
             ),
         )
@@ -232,38 +241,50 @@
     def _affinity_bound(self, needs: str) -> float:
         """Returns the grants at which a target loses its prefix affinity."""
         serving = [t for t in self._targets.values() if needs in t.serves]
-        grants = sum(self.held(target.name) for target in serving)
+        grants = sum(self.slots_in_use(target.name) for target in serving)
         return 1 + _AFFINITY_LOAD_RATIO * grants / len(serving)
 
-    def _unread(self, target: Target, ask: Ask) -> float:
+    def _uncached_tokens(
+        self, target: Target, slot_request: SlotRequest
+    ) -> float:
         """Returns the prompt tokens that are probably not in its cache."""
-        if not ask.blocks:
+        if not slot_request.blocks:
             return 0.0
-        cached_blocks = self._prefixes.covered(target.name, ask.blocks)
-        return (len(ask.blocks) - cached_blocks) * _TOKENS_PER_BLOCK
+        cached_blocks = self._prefixes.covered(target.name, slot_request.blocks)
+        return (len(slot_request.blocks) - cached_blocks) * _TOKENS_PER_BLOCK
 
-    def _load(self, target: Target) -> float:
+    def _expected_backlog(self, target: Target) -> float:
         """Returns the work ahead of a new request, in tokens per slot."""
         granted_tokens = sum(
-            ask.tokens for ask in self._held.get(target.name, {}).values()
+            slot_request.tokens
+            for slot_request in self._held.get(target.name, {}).values()
         )
         return max(granted_tokens, target.queued_tokens) / target.slots
 
     def _grant(
-        self, ask: Ask, target: Target, now: float, *, waited: float
+        self,
+        slot_request: SlotRequest,
+        target: Target,
+        now: float,
+        *,
+        waited: float,
     ) -> Grant:
-        self._queued_requests.discard(ask.request)
-        self._held.setdefault(target.name, {})[ask.request] = ask
-        self._granted_targets[ask.request] = target.name
-        self._teams[ask.team].virtual_tokens += ask.tokens / ask.weight
+        self._queued_requests.discard(slot_request.request)
+        self._held.setdefault(target.name, {})[slot_request.request] = (
+            slot_request
+        )
+        self._granted_targets[slot_request.request] = target.name
+        self._teams[slot_request.team].virtual_tokens += (
+            slot_request.tokens / slot_request.weight
+        )
         reason = "queue" if waited else "least_loaded"
-        if self._prefixes.covered(target.name, ask.blocks):
+        if self._prefixes.covered(target.name, slot_request.blocks):
             reason = "prefix_hit"
-        self._prefixes.note(target.name, ask.blocks)
-        self._outliers.granted(target.name, now)
-        return Grant(ask.request, target.name, reason, waited)
+        self._prefixes.note(target.name, slot_request.blocks)
+        self._outliers.record_grant(target.name, now)
+        return Grant(slot_request.request, target.name, reason, waited)
 
-    def ready(self, now: float) -> list[Grant]:
+    def grant_free_slots(self, now: float) -> list[Grant]:
         """Grants free slots, to teams in order of their virtual tokens."""
         grants = []
         while True:
@@ -288,44 +309,46 @@
                 if queue
             )
             for since, needs in queue_heads:
-                ask = queues[needs][0].ask
-                target = self._best(ask, now)
+                slot_request = queues[needs][0].slot_request
+                target = self._best_target(slot_request, now)
                 if target is not None:
                     queues[needs].popleft()
-                    return self._grant(ask, target, now, waited=now - since)
+                    return self._grant(
+                        slot_request, target, now, waited=now - since
+                    )
         return None
 
-    def expire(self, now: float) -> list[Ask]:
+    def expire(self, now: float) -> list[SlotRequest]:
         """Removes queued requests that are late or that no target serves."""
         expired = []
         for team in self._teams.values():
             for needs, queue in team.queues.items():
                 remaining = collections.deque()
                 for waiting in queue:
-                    ask = waiting.ask
-                    is_late = ask.deadline <= now
-                    if is_late or not self.serves(needs, ask.avoid):
-                        expired.append(ask)
-                        self._queued_requests.discard(ask.request)
+                    slot_request = waiting.slot_request
+                    is_late = slot_request.deadline <= now
+                    if is_late or not self.serves(needs, slot_request.avoid):
+                        expired.append(slot_request)
+                        self._queued_requests.discard(slot_request.request)
                     else:
                         remaining.append(waiting)
                 team.queues[needs] = remaining
         return expired
 
-    def forget(self, target: str) -> None:
+    def clear_history(self, target: str) -> None:
         """Discards cache hints and failures of a target that restarted."""
         self._prefixes.forget(target)
         self._outliers.forget(target)
 
-    def ended(self, request: str, *, failed: bool, now: float) -> str:
+    def record_outcome(self, request: str, *, failed: bool, now: float) -> str:
         """Records the outcome of a granted request, before its release.
 
         Returns:
             The target if this outcome ejects it, else an empty string.
         """
         target = self._granted_targets.get(request, "")
-        if target and self._outliers.ended(
-            target, failed=failed, now=now, of=len(self._targets)
+        if target and self._outliers.record_attempt(
+            target, failed=failed, now=now, pool_size=len(self._targets)
         ):
             return target
         return ""
@@ -334,15 +357,17 @@
         """Frees a slot, or removes the request from the queue. Idempotent.
 
         Args:
-            request: Id from the `Ask`.
+            request: Id from the `SlotRequest`.
             tokens: Actual cost; corrects the team's virtual tokens.
         """
         target = self._granted_targets.pop(request, None)
         if target is not None:
-            ask = self._held[target].pop(request)
+            slot_request = self._held[target].pop(request)
             if tokens is not None:
-                team = self._teams[ask.team]
-                team.virtual_tokens += (tokens - ask.tokens) / ask.weight
+                team = self._teams[slot_request.team]
+                team.virtual_tokens += (
+                    tokens - slot_request.tokens
+                ) / slot_request.weight
             return
         if request not in self._queued_requests:
             return
@@ -350,6 +375,6 @@
         for team in self._teams.values():
             for queue in team.queues.values():
                 for waiting in queue:
-                    if waiting.ask.request == request:
+                    if waiting.slot_request.request == request:
                         queue.remove(waiting)
                         return
--- a/packages/endivestream/src/endivestream/request/send_slots.py
+++ b/packages/endivestream/src/endivestream/request/send_slots.py
@@ -16,7 +16,7 @@
 
 # How far ahead the leader grants sends. A new leader grants none during this
 # time, because sends granted by the previous leader may still be made.
-AHEAD_SECONDS = 1.0
+GRANT_AHEAD_SECONDS = 1.0
 # Sends that may be made together after a pause.
 _BURST_SENDS = 2.0
 # Sends a second to a target with a lower limit, also of 0: only an answer of
@@ -136,7 +136,7 @@
         """
         schedule = self._schedule(target, born, _leader_rate(rate, hosts), now)
         wait = max(0.0, schedule.next_send_at - now)
-        if wait <= min(patience, AHEAD_SECONDS):
+        if wait <= min(patience, GRANT_AHEAD_SECONDS):
             schedule.next_send_at = max(
                 schedule.next_send_at, self._earliest_send(schedule, now)
             )
@@ -151,7 +151,9 @@
         schedule.next_retry_at = retry_at + 1 / schedule.rate
         return Denied(seconds=retry_at - now)
 
-    def spent(self, target: str, born: int, rate: float, now: float) -> None:
+    def count_send(
+        self, target: str, born: int, rate: float, now: float
+    ) -> None:
         """Counts a send that was made without a grant."""
         schedule = self._schedule(
             target, born, max(_MIN_SENDS_PER_SECOND, rate), now
@@ -169,7 +171,7 @@
     def _earliest_send(self, schedule: _SendSchedule, now: float) -> float:
         """Returns the earliest time whose unused sends may still be made."""
         return max(
-            self._started_at + AHEAD_SECONDS,
+            self._started_at + GRANT_AHEAD_SECONDS,
             now - (_BURST_SENDS - 1) / schedule.rate,
         )
 
@@ -178,7 +180,7 @@
     ) -> _SendSchedule:
         schedule = self._schedules.get(target)
         if schedule is None or schedule.born != born:
-            first_send_at = max(now, self._started_at + AHEAD_SECONDS)
+            first_send_at = max(now, self._started_at + GRANT_AHEAD_SECONDS)
             schedule = _SendSchedule(
                 born=born, rate=rate, next_send_at=first_send_at
             )
@@ -186,7 +188,7 @@
         if rate > schedule.rate:
             # Sends made at a lower limit do not delay those at a higher one.
             schedule.next_send_at = min(
-                schedule.next_send_at, now + AHEAD_SECONDS
+                schedule.next_send_at, now + GRANT_AHEAD_SECONDS
             )
             schedule.next_retry_at = min(schedule.next_retry_at, now)
         schedule.rate = rate
--- a/packages/endivestream/src/endivestream/request/sending.py
+++ b/packages/endivestream/src/endivestream/request/sending.py
@@ -20,9 +20,9 @@
 from endivestream.connection import registry as registry_lib
 from endivestream.request import admission
 from endivestream.request import call as call_lib
-from endivestream.request import choice as choice_lib
 from endivestream.request import names as names_lib
 from endivestream.request import sse
+from endivestream.request import target_selection
 from endivestream.version import document as document_lib
 
 # A target that is up accepts a connection within a few milliseconds; waiting
@@ -74,7 +74,7 @@
     status: int = 0
     reason: str = ""
     target: str = ""
-    starting: choice_lib.Ask | None = None
+    starting: target_selection.TargetRequirements | None = None
     stage: str = "lease"
 
     @property
@@ -135,7 +135,7 @@
         self,
         *,
         names: names_lib.HeaderNames,
-        view: choice_lib.View,
+        view: target_selection.TargetView,
         pool: exchange_lib.Pool,
         idle: Callable[[], None],
         freed: Callable[[], None],
@@ -165,7 +165,7 @@
         call: call_lib.Call,
         work: admission.Work,
         progress: Progress,
-        picked: choice_lib.Picked,
+        picked: target_selection.Selected,
     ) -> Result:
         """Makes one attempt and records its outcome in `progress`."""
         registration = picked.target.said
@@ -177,8 +177,8 @@
         exchange = exchange_lib.Exchange(
             pool=self._pool, url=f"http://{registration.address}/"
         )
-        requirements = ask(work, progress)
-        view.sent(registration.name, requirements, clock.now())
+        requirements = target_requirements(work, progress)
+        view.record_sent(registration.name, requirements, clock.now())
         progress.starting = requirements
         # Stays False if the caller disconnects before the attempt has a
         # result: that is no evidence of a fault of the target.
@@ -192,7 +192,7 @@
         finally:
             exchange.close()
             self._record_start(progress)
-            if view.ended(
+            if view.record_result(
                 registration.name, requirements, clock.now(), failed=failed
             ):
                 self._idle()
@@ -255,7 +255,7 @@
     def _record_start(self, progress: Progress) -> None:
         """Records once per attempt that its prompt has been processed."""
         if progress.starting is not None:
-            self._view.started(progress.target, progress.starting)
+            self._view.record_started(progress.target, progress.starting)
             progress.starting = None
 
     def _attempt_deadline(
@@ -319,7 +319,7 @@
         head: exchange_lib.Head,
     ) -> Result:
         names = self._names
-        self._view.heard(progress.target, clock.now())
+        self._view.record_bytes(progress.target, clock.now())
         if head.headers.get(names.request, "") != work.request:
             # A late answer to an earlier request on this connection. One
             # without a request id may be such an answer as well.
@@ -353,7 +353,7 @@
         size = 0
         async for chunk in exchange.chunks(silence=work.route.timeout):
             progress.first = progress.first or clock.now()
-            self._view.heard(progress.target, clock.now())
+            self._view.record_bytes(progress.target, clock.now())
             size += len(chunk)
             if call.begun:
                 await call.write(chunk)
@@ -400,7 +400,7 @@
             now = clock.now()
             progress.gap = max(progress.gap, now - previous)
             previous = now
-            self._view.heard(progress.target, now)
+            self._view.record_bytes(progress.target, now)
             self._record_start(progress)
             if work.route.resumable:
                 # Only complete events: another target resumes after the last.
@@ -426,25 +426,25 @@
         return Passed(head.status)
 
 
-def ask(
-    work: admission.Work, progress: Progress, *, waits: bool = False
-) -> choice_lib.Ask:
+def target_requirements(
+    work: admission.Work, progress: Progress, *, can_wait: bool = False
+) -> target_selection.TargetRequirements:
     """Returns a request's requirements of a target.
 
     Args:
         work: The request.
         progress: State of its attempts.
-        waits: Whether it can still wait for a free slot on a full engine.
+        can_wait: Whether it can still wait for a free slot on a full engine.
     """
     on_engine = work.service.engine is not None
-    return choice_lib.Ask(
+    return target_selection.TargetRequirements(
         service=work.service.name,
         model=work.model if on_engine else "",
         adapter=work.adapter if on_engine else "",
         session=work.session,
         tried=tuple(progress.tried),
         rank=priority(work),
-        waits=waits,
+        can_wait=can_wait,
     )
 
 
--- a/packages/endivestream/src/endivestream/request/choice.py
+++ b/packages/endivestream/src/endivestream/request/target_selection.py
@@ -60,7 +60,7 @@
 _SILENCE_SECONDS = 1.2
 
 
-class Ask(NamedTuple):
+class TargetRequirements(NamedTuple):
     """Requirements of a request on its target.
 
     Attributes:
@@ -70,7 +70,7 @@
         session: Id shared by requests with a common prompt prefix, or empty.
         tried: Targets that the request was already sent to.
         rank: Urgency; 0 is the most urgent.
-        waits: Whether the request can still wait for a slot if the engines
+        can_wait: Whether the request can still wait for a slot if the engines
             are full.
     """
 
@@ -80,11 +80,11 @@
     session: str = ""
     tried: Collection[str] = ()
     rank: int = 0
-    waits: bool = False
+    can_wait: bool = False
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Picked:
+class Selected:
     """The target selected for a request and the reason for the selection."""
 
     target: site_messages.Target
@@ -141,7 +141,7 @@
     denied_names: set[str] = dataclasses.field(default_factory=set)
 
 
-class View:
+class TargetView:
     """All targets and their state as observed by one entry host."""
 
     def __init__(
@@ -171,7 +171,7 @@
         self._hosts = 1
 
     def __repr__(self) -> str:
-        return f"<View of {len(self._targets)} targets>"
+        return f"<TargetView of {len(self._targets)} targets>"
 
     @property
     def targets(self) -> dict[str, site_messages.Target]:
@@ -266,23 +266,27 @@
         """Sends no requests to a target until a time because of its limit."""
         self._blocked_until[target] = until
 
-    def still_takes(
-        self, registration: registry_lib.Registration, ask: Ask
+    def is_usable(
+        self,
+        registration: registry_lib.Registration,
+        requirements: TargetRequirements,
     ) -> bool:
         """Returns whether a target selected earlier can still be used."""
         target = self._targets.get(registration.name)
         if target is None or target.said.born != registration.born:
             return False
-        has_model = not ask.model or self._has_model(
-            registration.name, ask.model
+        has_model = not requirements.model or self._has_model(
+            registration.name, requirements.model
         )
         return has_model and not target.said.draining
 
-    def pick(self, ask: Ask, now: float, *, limit: int) -> Picked | Unavailable:
+    def pick(
+        self, requirements: TargetRequirements, now: float, *, limit: int
+    ) -> Selected | Unavailable:
         """Selects a target for a request.
 
         Args:
-            ask: Requirements of the request.
+            requirements: Requirements of the request.
             now: Current time.
             limit: Maximum number of this host's requests on one target.
 
@@ -291,19 +295,24 @@
         """
         names = [
             name
-            for name in self._by_service.get(ask.service, ())
-            if not self._targets[name].said.draining and name not in ask.tried
+            for name in self._by_service.get(requirements.service, ())
+            if not self._targets[name].said.draining
+            and name not in requirements.tried
         ]
         if not names:
             return Unavailable(reason="no_target")
-        if ask.model:
+        if requirements.model:
             candidates = names
-            names = [n for n in candidates if self._has_model(n, ask.model)]
+            names = [
+                n for n in candidates if self._has_model(n, requirements.model)
+            ]
             if not names:
-                expected = self._expected_at(candidates, ask.model, now)
+                expected = self._expected_at(
+                    candidates, requirements.model, now
+                )
                 return Unavailable(reason="no_model", expected=expected)
-        if ask.adapter:
-            adapter_name = f"{ask.model}/{ask.adapter}"
+        if requirements.adapter:
+            adapter_name = f"{requirements.model}/{requirements.adapter}"
             names = [n for n in names if self._has_adapter(n, adapter_name)]
             if not names:
                 return Unavailable(reason="no_adapter")
@@ -311,15 +320,17 @@
         if not healthy:
             return Unavailable(reason="all_failing")
         names = [n for n in healthy if self._states[n].running < limit]
-        if ask.model:
-            names = [n for n in names if self._has_free_slot(n, ask, now)]
+        if requirements.model:
+            names = [
+                n for n in names if self._has_free_slot(n, requirements, now)
+            ]
         if not names:
             return Unavailable(reason="full")
         unblocked = [n for n in names if not self._is_blocked(n, now)]
         if not unblocked:
             unblocked_at = min(self._blocked_until[name] for name in names)
             return Unavailable(reason="rate_limited", expected=unblocked_at)
-        return self._least_loaded(ask, unblocked, now)
+        return self._least_loaded(requirements, unblocked, now)
 
     def _is_blocked(self, name: str, now: float) -> bool:
         until = self._blocked_until.get(name)
@@ -356,13 +367,15 @@
             and adapter not in self._states[name].denied_names
         )
 
-    def _has_free_slot(self, name: str, ask: Ask, now: float) -> bool:
+    def _has_free_slot(
+        self, name: str, requirements: TargetRequirements, now: float
+    ) -> bool:
         """Returns whether an engine should get one more request."""
         slots = self._targets[name].said.slots
         share = 1.0
-        if ask.waits:
+        if requirements.can_wait:
             share = _MAX_SLOT_SHARE - _SLOT_SHARE_PER_RANK * min(
-                ask.rank, _MAX_RANK_STEPS
+                requirements.rank, _MAX_RANK_STEPS
             )
         running = self._states[name].running
         if now - self._other_loads_at > _LOADS_STALE_SECONDS:
@@ -387,8 +400,12 @@
                 return False
         return now >= state.retry_at
 
-    def _least_loaded(self, ask: Ask, names: list[str], now: float) -> Picked:
-        last_target = self._session_targets.get((ask.model, ask.session), "")
+    def _least_loaded(
+        self, requirements: TargetRequirements, names: list[str], now: float
+    ) -> Selected:
+        last_target = self._session_targets.get(
+            (requirements.model, requirements.session), ""
+        )
         best, lowest_load, reason = "", float("inf"), ""
         for name in names:
             target, state = self._targets[name], self._states[name]
@@ -407,7 +424,7 @@
                 )
             else:
                 candidate_reason = "near"
-            if ask.session and name == last_target:
+            if requirements.session and name == last_target:
                 load -= _SESSION_AFFINITY_REQUESTS
                 candidate_reason = "session"
             if target.said.warm_in > 0:
@@ -419,25 +436,31 @@
                 load += _SILENT_TARGET_REQUESTS
             # Ties are broken by session, so that its requests go to the same
             # target, whose cache has the shared parts of the prompt.
-            load += _tie_breaker(ask.session or ask.model, name)
+            load += _tie_breaker(
+                requirements.session or requirements.model, name
+            )
             if load < lowest_load:
                 best, lowest_load, reason = name, load, candidate_reason
-        if ask.session:
-            self._record_session(ask, best)
-        return Picked(target=self._targets[best], reason=reason)
+        if requirements.session:
+            self._record_session(requirements, best)
+        return Selected(target=self._targets[best], reason=reason)
 
-    def _record_session(self, ask: Ask, name: str) -> None:
-        key = (ask.model, ask.session)
+    def _record_session(
+        self, requirements: TargetRequirements, name: str
+    ) -> None:
+        key = (requirements.model, requirements.session)
         self._session_targets.pop(key, None)
         self._session_targets[key] = name
         if len(self._session_targets) > 4096:
             self._session_targets.pop(next(iter(self._session_targets)))
 
-    def sent(self, target: str, ask: Ask, now: float) -> None:
+    def record_sent(
+        self, target: str, requirements: TargetRequirements, now: float
+    ) -> None:
         """Records that a request is sent to a target."""
         state = self._states.setdefault(target, _TargetState())
         state.running += 1
-        key = (ask.model, ask.adapter)
+        key = (requirements.model, requirements.adapter)
         state.models[key] = state.models.get(key, 0) + 1
         state.starting[key] = state.starting.get(key, 0) + 1
         if state.waiting_since is None:
@@ -445,28 +468,37 @@
         if state.failures >= _EJECTION_FAILURES:
             state.trial_running = True
 
-    def started(self, target: str, ask: Ask) -> None:
+    def record_started(
+        self, target: str, requirements: TargetRequirements
+    ) -> None:
         """Records that the first event or the end of an answer arrived."""
         state = self._states.get(target)
-        key = (ask.model, ask.adapter)
+        key = (requirements.model, requirements.adapter)
         if state is not None and state.starting.get(key):
             state.starting[key] -= 1
             if not state.starting[key]:
                 del state.starting[key]
 
-    def heard(self, target: str, now: float) -> None:
+    def record_bytes(self, target: str, now: float) -> None:
         """Records that bytes of an answer arrived from a target."""
         state = self._states.get(target)
         if state is not None:
             state.last_byte_at = now
             state.waiting_since = now
 
-    def ended(self, target: str, ask: Ask, now: float, *, failed: bool) -> None:
+    def record_result(
+        self,
+        target: str,
+        requirements: TargetRequirements,
+        now: float,
+        *,
+        failed: bool,
+    ) -> None:
         """Records the result of a request on a target.
 
         Args:
             target: Name of the target.
-            ask: Requirements of the request.
+            requirements: Requirements of the request.
             now: Current time.
             failed: Whether the request failed because of the target.
 
@@ -478,7 +510,7 @@
         if state is None:
             return False
         state.running = max(0, state.running - 1)
-        key = (ask.model, ask.adapter)
+        key = (requirements.model, requirements.adapter)
         state.models[key] = state.models.get(key, 1) - 1
         if state.models[key] <= 0:
             del state.models[key]
@@ -491,8 +523,8 @@
         closing = (
             self._targets[target].closing if target in self._targets else ()
         )
-        is_last_use = ask.model in closing and not any(
-            model == ask.model for model, _ in state.models
+        is_last_use = requirements.model in closing and not any(
+            model == requirements.model for model, _ in state.models
         )
         if not failed:
             state.failures = 0
@@ -506,7 +538,7 @@
             state.retry_at = now + min(_MAX_EJECTION_SECONDS, ejection_seconds)
         return is_last_use
 
-    def denied(self, target: str, name: str) -> None:
+    def record_denied(self, target: str, name: str) -> None:
         """Records that a target denied to have a model or adapter.
 
         Applies until the leader sends a changed entry for the target.
--- a/packages/endivestream/src/endivestream/request/turns.py
+++ b/packages/endivestream/src/endivestream/request/turns.py
@@ -13,14 +13,14 @@
 # pause for longer than the gap that their callers count as in time.
 PACE_TOKENS = 14_000.0
 # Permitted burst, in seconds of that pace: one or two long prompts.
-AHEAD_SECONDS = 0.15
+MAX_BURST_SECONDS = 0.15
 # 0 is the most urgent rank, this the least urgent one.
 _LEAST_URGENT_RANK = 9
 # Engines that have been idle for this time are removed.
 _IDLE_RETENTION_SECONDS = 60.0
 
 
-class Turns:
+class PrefillTurns:
     """Prefill turns at the engines whose turn owner is this host."""
 
     def __init__(self) -> None:
@@ -29,7 +29,7 @@
         self._busy_until: dict[str, list[float]] = {}
 
     def __repr__(self) -> str:
-        return f"<Turns at {len(self._busy_until)} engines>"
+        return f"<PrefillTurns at {len(self._busy_until)} engines>"
 
     def take(self, target: str, tokens: float, rank: int, now: float) -> float:
         """Returns the seconds that a prompt should wait for its turn.
@@ -47,7 +47,7 @@
         busy_until = self._busy_until.pop(
             target, [now] * (_LEAST_URGENT_RANK + 1)
         )
-        wait = max(0.0, busy_until[rank] - AHEAD_SECONDS - now)
+        wait = max(0.0, busy_until[rank] - MAX_BURST_SECONDS - now)
         for affected_rank in range(rank, _LEAST_URGENT_RANK + 1):
             busy_until[affected_rank] = (
                 max(busy_until[affected_rank], now) + tokens / PACE_TOKENS
--- a/packages/endivestream/src/endivestream/request/unserved.py
+++ b/packages/endivestream/src/endivestream/request/unserved.py
@@ -35,7 +35,7 @@
     last_missed_at: float
 
 
-class Unserved:
+class UnservedModels:
     """Unserved models and adapters, by service, model and adapter."""
 
     def __init__(self) -> None:
@@ -43,9 +43,9 @@
         self._records: dict[Key, _Record] = {}
 
     def __repr__(self) -> str:
-        return f"<Unserved {len(self._records)}>"
+        return f"<UnservedModels {len(self._records)}>"
 
-    def missed(self, key: Key, now: float) -> None:
+    def record_miss(self, key: Key, now: float) -> None:
         """Records a request that no target can serve for lack of its model."""
         record = self._records.pop(key, None) or _Record(
             first_missed_at=now, last_missed_at=now
@@ -54,13 +54,13 @@
         self._records[key] = record
         self._remove_old(now)
 
-    def served(self, key: Key) -> None:
+    def record_service(self, key: Key) -> None:
         """Records a request that has been assigned a target."""
         service, model, _ = key
         self._records.pop(key, None)
         self._records.pop((service, model, ""), None)
 
-    def seconds(self, key: Key, now: float) -> float:
+    def unserved_seconds(self, key: Key, now: float) -> float:
         """Returns the seconds since a key was first missed; 0 if served."""
         record = self._records.get(key)
         if record is None or now - record.last_missed_at > _RETENTION_SECONDS:
--- a/tests/placement_site.py
+++ b/tests/placement_site.py
@@ -245,8 +245,8 @@
         )
         self._changed = asyncio.Event()
         self._waiting = collections.defaultdict(list)
-        self._unserved = unserved_lib.Unserved()
-        self._meters = demand_lib.Meters(now=clock.now())
+        self._unserved = unserved_lib.UnservedModels()
+        self._meters = demand_lib.RequestRates(now=clock.now())
         self._call_tasks = set()
         self._tasks = []
         self.planner = self._new_planner(fence=1)
@@ -357,7 +357,7 @@
                 rates.get(key, 0.0),
                 len(self._waiting.get(key, ())),
                 min(self._waiting.get(key) or [0.0]),
-                self._unserved.seconds(key, clock.now()),
+                self._unserved.unserved_seconds(key, clock.now()),
             )
             for key in sorted({*rates, *self._waiting})
         ]
@@ -401,7 +401,7 @@
                 now = clock.now()
                 engine = self._find_engine(model, adapter)
                 if engine is not None:
-                    self._unserved.served(key)
+                    self._unserved.record_service(key)
                     break
                 expected = self._expected(model, now)
                 if now >= deadline or (expected or now) > deadline:
@@ -458,11 +458,11 @@
         return min(times, default=None)
 
     def _start_waiting(self, key):
-        self._unserved.missed(key, clock.now())
+        self._unserved.record_miss(key, clock.now())
         self._waiting[key].append(ROUTE.objective)
         if len(self._waiting[key]) == 1 and self.planner is not None:
             rate = self._meters.rates(clock.now()).get(key, 0.0)
-            unserved = self._unserved.seconds(key, clock.now())
+            unserved = self._unserved.unserved_seconds(key, clock.now())
             demand = site_messages.Demand(
                 *key, rate, 1, ROUTE.objective, unserved
             )
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -7,9 +7,9 @@
 KEY = ("s", "m", "")
 
 
-class MetersTest(unittest.TestCase):
+class RequestRatesTest(unittest.TestCase):
     def _rate_after(self, times, now):
-        meters = demand_lib.Meters(now=0.0)
+        meters = demand_lib.RequestRates(now=0.0)
         for when in times:
             meters.count(KEY, when)
         return meters.rates(now).get(KEY, 0.0)
--- a/tests/test_forward.py
+++ b/tests/test_forward.py
@@ -11,7 +11,6 @@
 from endivestream.connection import registry as registry_lib
 from endivestream.request import admission
 from endivestream.request import call as call_lib
-from endivestream.request import choice as choice_lib
 from endivestream.request import forward as forward_lib
 from endivestream.request import forward_parts
 from endivestream.request import lease_queue
@@ -19,6 +18,7 @@
 from endivestream.request import rate_limits as rate_limits_lib
 from endivestream.request import repeats as repeats_lib
 from endivestream.request import routes as routes_lib
+from endivestream.request import target_selection
 from endivestream.version import document as document_lib
 from tornado import httpserver
 from tornado import netutil
@@ -57,7 +57,9 @@
         self.targets = []
         self.lease = clock.now() + 60.0
         self.known_limits = rate_limits_lib.RateLimits()
-        self.view = choice_lib.View(domain="a", limits=self.known_limits)
+        self.view = target_selection.TargetView(
+            domain="a", limits=self.known_limits
+        )
         self.credit = FakeCredit()
         self.ended = []
         self.missed = []
@@ -255,7 +257,7 @@
     async def test_a_request_that_waits_for_a_limited_target_is_answered(self):
         self._route(ONCE)
         await self._start_target(standin.says(standin.answer()))
-        self.known_limits.heard("t1", 1, 1.5, clock.now())
+        self.known_limits.record_answer("t1", 1, 1.5, clock.now())
         self.permit_waits = True
         await self._check_stop_answer("limit", [503])
 
@@ -315,7 +317,7 @@
 
 class RateLimitTest(ForwardTest):
     def _limit(self, target, rate=1.5):
-        self.known_limits.heard(target, 1, rate, clock.now())
+        self.known_limits.record_answer(target, 1, rate, clock.now())
 
     async def test_a_request_denied_by_a_rate_limit_uses_another_target(self):
         self._route(ONCE)
--- a/tests/test_outliers.py
+++ b/tests/test_outliers.py
@@ -13,35 +13,39 @@
 
     def _fail(self, target, times=3, now=0.0, of=6):
         for _ in range(times):
-            ejected = self.outliers.ended(target, failed=True, now=now, of=of)
+            ejected = self.outliers.record_attempt(
+                target, failed=True, now=now, pool_size=of
+            )
         return ejected
 
     def test_three_consecutive_failures_eject_until_a_probe_succeeds(self):
         """Guards against a retry per caller for a target that always fails."""
         self.assertFalse(self._fail("t", 2))
-        self.assertTrue(self.outliers.may_get("t", 0.0))
+        self.assertTrue(self.outliers.is_allowed("t", 0.0))
         self.assertTrue(self._fail("t", 1))
-        self.assertFalse(self.outliers.may_get("t", 0.9))
-        self.assertTrue(self.outliers.may_get("t", 1.0))
-        self.outliers.granted("t", 1.0)
-        self.assertFalse(self.outliers.may_get("t", 1.1))
+        self.assertFalse(self.outliers.is_allowed("t", 0.9))
+        self.assertTrue(self.outliers.is_allowed("t", 1.0))
+        self.outliers.record_grant("t", 1.0)
+        self.assertFalse(self.outliers.is_allowed("t", 1.1))
         self.assertTrue(self._fail("t", 1, now=1.2))
-        self.assertFalse(self.outliers.may_get("t", 3.1))
-        self.outliers.ended("t", failed=False, now=3.3, of=6)
-        self.assertTrue(self.outliers.may_get("t", 3.3))
+        self.assertFalse(self.outliers.is_allowed("t", 3.1))
+        self.outliers.record_attempt("t", failed=False, now=3.3, pool_size=6)
+        self.assertTrue(self.outliers.is_allowed("t", 3.3))
 
     def test_success_resets_the_failure_count(self):
         for _ in range(5):
             self._fail("t", 2)
-            self.outliers.ended("t", failed=False, now=0.0, of=6)
-        self.assertTrue(self.outliers.may_get("t", 0.0))
+            self.outliers.record_attempt(
+                "t", failed=False, now=0.0, pool_size=6
+            )
+        self.assertTrue(self.outliers.is_allowed("t", 0.0))
 
     def test_at_most_a_third_of_the_targets_is_ejected(self):
         """Guards against few remaining targets if all targets fail."""
         for name in "abcdef":
             self._fail(name)
         ejected_targets = [
-            n for n in "abcdef" if not self.outliers.may_get(n, 0.0)
+            n for n in "abcdef" if not self.outliers.is_allowed(n, 0.0)
         ]
         self.assertEqual(ejected_targets, ["a", "b"])
 
@@ -73,7 +77,7 @@
     def setUp(self):
         self.scheduler = scheduler_lib.Scheduler()
         for name in ("t1", "t2", "t3"):
-            self.scheduler.put_target(
+            self.scheduler.upsert_target(
                 scheduler_lib.Target(name, frozenset("m"), 8, 0)
             )
         self.count = 0
@@ -81,10 +85,10 @@
     def _ask(self, blocks=()):
         self.count += 1
         name = str(self.count)
-        ask = scheduler_lib.Ask(
+        ask = scheduler_lib.SlotRequest(
             name, "team", 1, "m", 80, 100.0, frozenset(), blocks
         )
-        return self.scheduler.ask(ask, now=0.0)
+        return self.scheduler.request_slot(ask, now=0.0)
 
     def test_request_goes_to_the_target_that_cached_its_prefix(self):
         first = self._ask((1, 2, 3, 4))
@@ -102,13 +106,13 @@
     def test_restarted_target_has_an_empty_cache(self):
         first = self._ask((1, 2, 3, 4))
         self.scheduler.release(first.request)
-        self.scheduler.forget(first.target)
+        self.scheduler.clear_history(first.target)
         self.assertEqual(self._ask((1, 2, 3, 4)).reason, "least_loaded")
 
     def test_target_that_fails_all_requests_gets_no_more(self):
         for _ in range(3):
             grant = self._ask()
             self.assertEqual(grant.target, "t1")
-            self.scheduler.ended(grant.request, failed=True, now=0.0)
+            self.scheduler.record_outcome(grant.request, failed=True, now=0.0)
             self.scheduler.release(grant.request)
         self.assertEqual(self._ask().target, "t2")
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -34,39 +34,39 @@
 
     def test_a_limit_follows_the_latest_answer(self):
         for now, rate in ((1.0, 1.5), (2.0, 3.0), (3.0, 0.0), (4.0, None)):
-            self.assertTrue(self.limits.heard("t1", 1, rate, now))
+            self.assertTrue(self.limits.record_answer("t1", 1, rate, now))
             self.assertEqual(self.limits.rate("t1", 1), rate)
-        self.assertFalse(self.limits.heard("t1", 1, None, 5.0))
+        self.assertFalse(self.limits.record_answer("t1", 1, None, 5.0))
 
     def test_a_restarted_target_does_not_inherit_a_limit(self):
         """Guards against limits that outlive the process that reported them."""
-        self.limits.heard("t1", 1, 1.5, 1.0)
+        self.limits.record_answer("t1", 1, 1.5, 1.0)
         self.assertIsNone(self.limits.rate("t1", 2))
-        self.limits.heard("t1", 2, 4.0, 2.0)
+        self.limits.record_answer("t1", 2, 4.0, 2.0)
         self.assertFalse(self.limits.merge([said(1.5)], 3.0))
         self.assertEqual(self.limits.rate("t1", 2), 4.0)
 
     def test_the_limit_of_an_earlier_start_is_removed(self):
-        self.limits.heard("t1", 1, 1.5, 1.0)
-        self.assertFalse(self.limits.forget_before("t1", 1))
-        self.assertTrue(self.limits.forget_before("t1", 2))
+        self.limits.record_answer("t1", 1, 1.5, 1.0)
+        self.assertFalse(self.limits.remove_older_starts("t1", 1))
+        self.assertTrue(self.limits.remove_older_starts("t1", 2))
         self.assertEqual({}, self.limits.rates)
 
     def test_a_late_report_does_not_restore_an_ended_limit(self):
-        self.limits.heard("t1", 1, 1.5, 1.0)
-        self.limits.heard("t1", 1, None, 5.0)
+        self.limits.record_answer("t1", 1, 1.5, 1.0)
+        self.limits.record_answer("t1", 1, None, 5.0)
         self.assertEqual([], self.limits.merge([said(1.5, age=2.0)], 6.0))
         self.assertIsNone(self.limits.rate("t1", 1))
 
     def test_targets_without_a_limit_take_no_memory(self):
         for number in range(100):
-            self.limits.heard(f"t{number}", 1, None, 1.0)
+            self.limits.record_answer(f"t{number}", 1, None, 1.0)
         self.assertEqual((), self.limits.records(2.0))
 
     def test_limits_of_removed_targets_are_removed(self):
-        self.limits.heard("t1", 1, 1.5, 1.0)
-        self.limits.heard("t2", 1, 1.5, 1.0)
-        self.limits.forget({"t1"}, 100.0)
+        self.limits.record_answer("t1", 1, 1.5, 1.0)
+        self.limits.record_answer("t2", 1, 1.5, 1.0)
+        self.limits.remove_stale({"t1"}, 100.0)
         self.assertEqual({"t1": 1.5}, self.limits.rates)
 
     # Guards against hosts whose limits differ permanently because reports reach
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -10,7 +10,7 @@
 
 
 def _ask(name, team="a", needs="m", tokens=10, weight=1, avoid=()):
-    return scheduler_lib.Ask(
+    return scheduler_lib.SlotRequest(
         name, team, weight, needs, tokens, 100.0, frozenset(avoid)
     )
 
@@ -18,18 +18,18 @@
 class SchedulerTest(unittest.TestCase):
     def setUp(self):
         self.scheduler = scheduler_lib.Scheduler()
-        self.scheduler.put_target(_target("t1"))
+        self.scheduler.upsert_target(_target("t1"))
 
     def _run(self, rounds, asks):
         """Releases the only slot repeatedly; returns the teams served."""
         for ask in asks:
-            self.scheduler.ask(ask, now=0.0)
+            self.scheduler.request_slot(ask, now=0.0)
         served = []
         for _ in range(rounds):
             granted_ask = next(iter(self.scheduler._held["t1"].values()))
             served.append(granted_ask.team)
             self.scheduler.release(granted_ask.request)
-            self.scheduler.ready(1.0)
+            self.scheduler.grant_free_slots(1.0)
         return served
 
     def test_short_request_overtakes_the_backlog_of_another_team(self):
@@ -53,10 +53,10 @@
 
         Its requests for one model are queued; another model has a free slot.
         """
-        self.scheduler.put_target(_target("t2", serves=("other",)))
-        self.scheduler.ask(_ask("1"), now=0)
-        self.scheduler.ask(_ask("2"), now=0)
-        grant = self.scheduler.ask(_ask("3", needs="other"), now=0)
+        self.scheduler.upsert_target(_target("t2", serves=("other",)))
+        self.scheduler.request_slot(_ask("1"), now=0)
+        self.scheduler.request_slot(_ask("2"), now=0)
+        grant = self.scheduler.request_slot(_ask("3", needs="other"), now=0)
         self.assertEqual(grant.target, "t2")
 
     def test_idle_team_earns_no_credit(self):
@@ -66,17 +66,17 @@
         self.assertLessEqual(served.count("b"), 5)
 
     def test_avoided_target_is_not_granted(self):
-        answer = self.scheduler.ask(_ask("1", avoid=("t1",)), now=0)
+        answer = self.scheduler.request_slot(_ask("1", avoid=("t1",)), now=0)
         self.assertIsInstance(answer, scheduler_lib.NoTarget)
 
     def test_release_is_idempotent_and_removes_queued_requests(self):
-        self.scheduler.ask(_ask("1"), now=0)
-        self.scheduler.ask(_ask("2"), now=0)
+        self.scheduler.request_slot(_ask("1"), now=0)
+        self.scheduler.request_slot(_ask("2"), now=0)
         self.scheduler.release("2")
         self.scheduler.release("2")
         self.scheduler.release("1")
-        self.assertEqual(self.scheduler.ready(0), [])
-        self.assertEqual(self.scheduler.held("t1"), 0)
+        self.assertEqual(self.scheduler.grant_free_slots(0), [])
+        self.assertEqual(self.scheduler.slots_in_use("t1"), 0)
 
     def test_resent_request_takes_no_second_slot(self):
         """Guards against slots leaked by a resend.
@@ -84,23 +84,23 @@
         The answer to the first send is lost with its connection; the gateway
         sends the same request again, while it holds a slot and while it waits.
         """
-        first = self.scheduler.ask(_ask("1"), now=0)
-        self.scheduler.put_target(_target("t0"))
-        again = self.scheduler.ask(_ask("1"), now=0)
+        first = self.scheduler.request_slot(_ask("1"), now=0)
+        self.scheduler.upsert_target(_target("t0"))
+        again = self.scheduler.request_slot(_ask("1"), now=0)
         self.assertEqual(again.target, first.target)
-        self.scheduler.drop_target("t0")
+        self.scheduler.remove_target("t0")
         for _ in range(2):
-            answer = self.scheduler.ask(_ask("2"), now=0)
+            answer = self.scheduler.request_slot(_ask("2"), now=0)
             self.assertIsInstance(answer, scheduler_lib.Queued)
         self.assertEqual(self.scheduler.waiting, 1)
         self.scheduler.release("1")
-        self.assertEqual(len(self.scheduler.ready(0)), 1)
+        self.assertEqual(len(self.scheduler.grant_free_slots(0)), 1)
         self.scheduler.release("2")
-        self.assertEqual(self.scheduler.held("t1"), 0)
+        self.assertEqual(self.scheduler.slots_in_use("t1"), 0)
 
     def test_requests_past_their_deadline_expire(self):
-        self.scheduler.ask(_ask("1"), now=0)
-        self.scheduler.ask(_ask("2"), now=0)
+        self.scheduler.request_slot(_ask("1"), now=0)
+        self.scheduler.request_slot(_ask("2"), now=0)
         self.assertEqual(self.scheduler.expire(99.0), [])
         (expired,) = self.scheduler.expire(100.0)
         self.assertEqual(expired.request, "2")
@@ -122,14 +122,14 @@
         granted and not corrected yet counts in full.
         """
         scheduler = scheduler_lib.Scheduler()
-        scheduler.put_target(_target("t", slots))
+        scheduler.upsert_target(_target("t", slots))
         weights = {"a": weight, "b": 1}
         asks = {}
         for number, tokens in enumerate(sizes):
             for team in "ab":
                 ask = _ask(f"{team}{number}", team, "m", tokens, weights[team])
                 asks[ask.request] = ask
-                scheduler.ask(ask, now=0.0)
+                scheduler.request_slot(ask, now=0.0)
         running = dict(scheduler._held["t"])
         work = dict.fromkeys("ab", 0.0)
         for name in running:
@@ -140,7 +140,7 @@
             name = rng.choice(sorted(running))
             del running[name]
             scheduler.release(name, tokens=asks[name].tokens)
-            for grant in scheduler.ready(1.0):
+            for grant in scheduler.grant_free_slots(1.0):
                 running[grant.request] = asks[grant.request]
                 ask = asks[grant.request]
                 work[ask.team] += ask.tokens
@@ -169,7 +169,7 @@
                     data.draw(st.sampled_from("mn")),
                     data.draw(st.integers(1, 500)),
                 )
-                answer = scheduler.ask(ask, now=float(number))
+                answer = scheduler.request_slot(ask, now=float(number))
                 if isinstance(answer, scheduler_lib.Grant):
                     running[answer.request] = answer.target
             elif step == "release" and running:
@@ -180,15 +180,15 @@
                 kept = data.draw(st.sets(st.sampled_from(targets)))
                 for target in targets:
                     if target in kept:
-                        scheduler.put_target(target)
+                        scheduler.upsert_target(target)
                     else:
-                        scheduler.drop_target(target.name)
-            for grant in scheduler.ready(float(number)):
+                        scheduler.remove_target(target.name)
+            for grant in scheduler.grant_free_slots(float(number)):
                 running[grant.request] = grant.target
             for target in targets:
                 held = list(running.values()).count(target.name)
                 self.assertLessEqual(held, target.slots)
-                self.assertEqual(held, scheduler.held(target.name))
+                self.assertEqual(held, scheduler.slots_in_use(target.name))
             waiting = {
                 needs
                 for team in scheduler._teams.values()
@@ -197,4 +197,6 @@
             }
             for target in scheduler.targets.values():
                 if waiting & target.serves:
-                    self.assertEqual(scheduler.held(target.name), target.slots)
+                    self.assertEqual(
+                        scheduler.slots_in_use(target.name), target.slots
+                    )
--- a/tests/test_send_slots.py
+++ b/tests/test_send_slots.py
@@ -58,7 +58,7 @@
         slots = send_slots.SendSlots(now=10.0)
         self.assertIsNone(granted(slots, 10.1, patience=0.5))
         first = granted(slots, 10.5)
-        self.assertGreaterEqual(first, 10.0 + send_slots.AHEAD_SECONDS)
+        self.assertGreaterEqual(first, 10.0 + send_slots.GRANT_AHEAD_SECONDS)
 
     def test_a_target_with_a_limit_of_zero_is_still_tried(self):
         """Guards against a limit of zero whose end no host notices."""
@@ -83,7 +83,7 @@
         """Guards against placement orders in excess of a target's limit."""
         slots = send_slots.SendSlots(now=0.0)
         for _ in range(8):
-            slots.spent("t1", 1, 1.5, 10.0)
+            slots.count_send("t1", 1, 1.5, 10.0)
         self.assertIsNone(granted(slots, 10.0))
 
     def test_a_large_limit_costs_no_messages(self):
--- a/tests/test_choice.py
+++ b/tests/test_target_selection.py
@@ -2,7 +2,7 @@
 
 from endivestream import site_messages
 from endivestream.connection import registry as registry_lib
-from endivestream.request import choice as choice_lib
+from endivestream.request import target_selection
 
 from tests import test_registry
 
@@ -21,28 +21,34 @@
     return site_messages.Target(said=registration, **fields)
 
 
-class ViewTest(unittest.TestCase):
+class TargetViewTest(unittest.TestCase):
     def setUp(self):
-        self.view = choice_lib.View(domain="a")
+        self.view = target_selection.TargetView(domain="a")
 
-    def _pick(self, now=0.0, limit=100, **ask):
+    def _pick(self, now=0.0, limit=100, **fields):
         result = self.view.pick(
-            choice_lib.Ask(service="s", **ask), now, limit=limit
+            target_selection.TargetRequirements(service="s", **fields),
+            now,
+            limit=limit,
         )
         match result:
-            case choice_lib.Picked(target=picked):
+            case target_selection.Selected(target=picked):
                 return picked.said.name
-            case choice_lib.Unavailable(reason=reason):
+            case target_selection.Unavailable(reason=reason):
                 return reason
 
-    def _send(self, name, now=0.0, **ask):
-        requirements = choice_lib.Ask(service="s", **ask)
-        self.view.sent(name, requirements, now)
-        self.view.started(name, requirements)
+    def _send(self, name, now=0.0, **fields):
+        requirements = target_selection.TargetRequirements(
+            service="s", **fields
+        )
+        self.view.record_sent(name, requirements, now)
+        self.view.record_started(name, requirements)
 
-    def _end(self, name, now, *, failed=False, **ask):
-        requirements = choice_lib.Ask(service="s", **ask)
-        return self.view.ended(name, requirements, now, failed=failed)
+    def _end(self, name, now, *, failed=False, **fields):
+        requirements = target_selection.TargetRequirements(
+            service="s", **fields
+        )
+        return self.view.record_result(name, requirements, now, failed=failed)
 
     def test_pick_requires_model_and_adapter(self):
         self.view.set_targets([target("t1", models=["m"]), target("t2")], [])
@@ -66,13 +72,13 @@
         self.view.set_targets([target("t1", models=["m"])], [])
         sent = {"t1": 0, "t2": 0}
         for _ in range(200):
-            result = self._pick(model="m", waits=True, limit=400)
+            result = self._pick(model="m", can_wait=True, limit=400)
             if result in sent:
                 sent[result] += 1
                 self._send(result, model="m")
         self.assertEqual(sent, {"t1": 48, "t2": 0})
         self.view.set_targets([target("t2", models=["m"])], [])
-        self.assertEqual(self._pick(model="m", waits=True, limit=400), "t2")
+        self.assertEqual(self._pick(model="m", can_wait=True, limit=400), "t2")
 
     def test_last_slots_are_kept_for_urgent_requests(self):
         """Guards against less urgent requests that take the last slots.
@@ -83,8 +89,8 @@
         self.view.set_targets([target("t1", models=["m"])], [])
         for _ in range(40):
             self._send("t1", model="m")
-        self.assertEqual(self._pick(model="m", waits=True, rank=2), "full")
-        self.assertEqual(self._pick(model="m", waits=True, rank=0), "t1")
+        self.assertEqual(self._pick(model="m", can_wait=True, rank=2), "full")
+        self.assertEqual(self._pick(model="m", can_wait=True, rank=0), "t1")
 
     def test_request_that_cannot_wait_may_use_all_slots(self):
         """Guards against refusing a request that could be answered late.
@@ -95,7 +101,7 @@
         self.view.set_targets([target("t1", models=["m"])], [])
         for _ in range(60):
             self._send("t1", model="m")
-        self.assertEqual(self._pick(model="m", waits=True), "full")
+        self.assertEqual(self._pick(model="m", can_wait=True), "full")
         self.assertEqual(self._pick(model="m"), "t1")
         for _ in range(4):
             self._send("t1", model="m")
@@ -118,7 +124,7 @@
         for _ in range(16):
             self._send("t1", model="m")
         self.assertEqual(self._pick(now=0.5, model="m"), "t1")
-        self.view.heard("t1", 5.0)
+        self.view.record_bytes("t1", 5.0)
         self.assertEqual(self._pick(now=5.0, model="m"), "full")
 
     def test_draining_targets_get_no_requests(self):
@@ -142,7 +148,7 @@
         denial applies until the leader sends a changed entry.
         """
         self.view.set_targets([target("t1", models=["m"])], [])
-        self.view.denied("t1", "m")
+        self.view.record_denied("t1", "m")
         self.assertEqual(self._pick(model="m"), "no_model")
         self.view.set_targets([target("t1", models=["m"], number=2)], [])
         self.assertEqual(self._pick(model="m"), "t1")
@@ -157,14 +163,14 @@
 
     def test_unprocessed_prompts_count_twice(self):
         self.view.set_targets([target("near"), target("far", domain="b")], [])
-        requirements = choice_lib.Ask(service="s")
-        self.view.sent("near", requirements, 0.0)
+        requirements = target_selection.TargetRequirements(service="s")
+        self.view.record_sent("near", requirements, 0.0)
         self.assertEqual(self._pick(), "near")
-        self.view.sent("near", requirements, 0.0)
-        self.view.sent("near", requirements, 0.0)
+        self.view.record_sent("near", requirements, 0.0)
+        self.view.record_sent("near", requirements, 0.0)
         self.assertEqual(self._pick(), "far")
         for _ in range(3):
-            self.view.started("near", requirements)
+            self.view.record_started("near", requirements)
         self.assertEqual(self._pick(), "near")
 
     def test_session_returns_to_the_same_target(self):
@@ -200,7 +206,7 @@
         self._send("t1", now=1.0)
         self.assertEqual(self._pick(now=2.0), "t1")
         self.assertEqual(self._pick(now=2.5), "all_failing")
-        self.view.heard("t1", 2.6)
+        self.view.record_bytes("t1", 2.6)
         self.assertEqual(self._pick(now=2.7), "t1")
 
     def test_failing_and_silent_targets_are_reported(self):
@@ -217,7 +223,7 @@
             self._end("broken", 1.0, failed=True)
         self._send("mute", now=1.0)
         self._send("sound", now=1.0)
-        self.view.heard("sound", 2.5)
+        self.view.record_bytes("sound", 2.5)
         self.assertEqual(("broken", "mute"), self.view.failing(2.6))
 
     def test_target_at_the_limit_is_skipped(self):
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -24,7 +24,7 @@
     )
 
 
-class TurnsTest(unittest.TestCase):
+class PrefillTurnsTest(unittest.TestCase):
     def test_bursts_of_prompts_are_spread(self):
         """Guards against streams that pause because hosts send at once.
 
@@ -33,7 +33,7 @@
         can process during a permitted pause.
         """
         rng = random.Random(7)
-        turns = turns_lib.Turns()
+        turns = turns_lib.PrefillTurns()
         arrived = sorted(
             (rng.uniform(0.0, 60.0), rng.choice([700.0, 1500.0, 3000.0]))
             for _ in range(400)
@@ -43,7 +43,7 @@
             for now, tokens in arrived
         ]
         pace = turns_lib.PACE_TOKENS
-        bound = pace * (_WINDOW + turns_lib.AHEAD_SECONDS) + 3000.0
+        bound = pace * (_WINDOW + turns_lib.MAX_BURST_SECONDS) + 3000.0
         self.assertGreater(_most(arrived), bound)
         self.assertLessEqual(_most(sent), bound)
 
@@ -58,13 +58,13 @@
     )
     def test_no_window_gets_more_than_the_pace_allows(self, steps):
         """However prompts come, what a window gets is bounded."""
-        turns, now, sent = turns_lib.Turns(), 0.0, []
+        turns, now, sent = turns_lib.PrefillTurns(), 0.0, []
         for pause, tokens in steps:
             now += pause
             sent.append((now + turns.take("t", tokens, 0, now), tokens))
         largest = max(tokens for _, tokens in steps)
         pace = turns_lib.PACE_TOKENS
-        bound = pace * (_WINDOW + turns_lib.AHEAD_SECONDS) + largest
+        bound = pace * (_WINDOW + turns_lib.MAX_BURST_SECONDS) + largest
         self.assertLessEqual(_most(sent), bound * (1 + 1e-9))
 
     def test_requests_that_waited_for_a_model_are_spread(self):
@@ -78,7 +78,7 @@
             objective=0.8,
             max_event_gap=0.3,
         )
-        turns, loaded_at = turns_lib.Turns(), 1000.0
+        turns, loaded_at = turns_lib.PrefillTurns(), 1000.0
         rng = random.Random(5)
         sent = []
         for _ in range(12):
@@ -93,12 +93,12 @@
             wait = max(0.0, min(wait, latest_turn - loaded_at))
             sent.append((loaded_at + wait, 1500.0))
         pace = turns_lib.PACE_TOKENS
-        bound = pace * (_WINDOW + turns_lib.AHEAD_SECONDS) + 1500.0
+        bound = pace * (_WINDOW + turns_lib.MAX_BURST_SECONDS) + 1500.0
         self.assertLessEqual(_most(sent), bound)
 
     def test_urgent_prompts_do_not_wait_for_less_urgent_ones(self):
         """Guards against urgent callers delayed by a less urgent burst."""
-        turns = turns_lib.Turns()
+        turns = turns_lib.PrefillTurns()
         for _ in range(20):
             turns.take("t", 1500.0, 2, 0.0)
         self.assertEqual(turns.take("t", 1500.0, 0, 0.0), 0.0)
@@ -107,7 +107,7 @@
         self.assertGreater(turns.take("t", 1500.0, 2, 0.0), before)
 
     def test_departed_engines_take_no_memory(self):
-        turns = turns_lib.Turns()
+        turns = turns_lib.PrefillTurns()
         for number in range(100):
             turns.take(f"t{number}", 100.0, 0, 100.0 * number)
         self.assertLess(len(turns._busy_until), 5)
