--- a/packages/endivestream/src/endivestream/process/callers.py
+++ b/packages/endivestream/src/endivestream/process/callers.py
@@ -53,10 +53,10 @@
         )
         if isinstance(generation, findings.Failure):
             return generation
-        work = attempts_lib.Work(
+        work = attempts_lib.AttemptWork(
             request,
             key.team,
-            generation.needs,
+            generation.required_model,
             generation.cost,
             generation.blocks,
             time.monotonic() + self.patience(),
@@ -190,7 +190,7 @@
                     "key in the Authorization header only",
                     status=400,
                 )
-        work = attempts_lib.Work(
+        work = attempts_lib.AttemptWork(
             request,
             key.team,
             f"service:{service.name}",
--- a/packages/endivestream/src/endivestream/process/credit_allocator.py
+++ b/packages/endivestream/src/endivestream/process/credit_allocator.py
@@ -27,7 +27,7 @@
 
 from endivestream import logs
 from endivestream import site_messages
-from endivestream.request import allowance
+from endivestream.request import credit_shares as credit_shares_lib
 from endivestream.version import document as document_lib
 
 # Maximum fraction of the available credit in one grant, so that one report does
@@ -132,7 +132,7 @@
 
         A long reservation queue then drains; otherwise it would stay full.
         """
-        demand_rate = self.wanted.total / allowance.AHEAD_SECONDS
+        demand_rate = self.wanted.total / credit_shares_lib.CREDIT_AHEAD_SECONDS
         return demand_rate <= self.team.rate
 
     def refill(self, now: float) -> None:
--- a/packages/endivestream/src/endivestream/process/daemon.py
+++ b/packages/endivestream/src/endivestream/process/daemon.py
@@ -153,7 +153,7 @@
         parts = handlers.Parts(
             self._gateway,
             self._pool,
-            retries.Budget(share=settings.requests.retry_share),
+            retries.RetryBudget(share=settings.requests.retry_share),
             random.Random(),
         )
         self._listen(callers.application(parts), caller_sockets)
--- a/packages/endivestream/src/endivestream/process/entry.py
+++ b/packages/endivestream/src/endivestream/process/entry.py
@@ -38,8 +38,8 @@
 from endivestream.process import site_settings
 from endivestream.process import turn_desk
 from endivestream.request import admission
-from endivestream.request import allowance as allowance_lib
 from endivestream.request import call as call_lib
+from endivestream.request import credit_shares as credit_shares_lib
 from endivestream.request import demand as demand_lib
 from endivestream.request import forward as forward_lib
 from endivestream.request import forward_parts
@@ -88,7 +88,7 @@
         self._view = target_selection.TargetView(
             domain=settings.domain, limits=self._limits
         )
-        self._allowance = allowance_lib.Allowance()
+        self._credit_shares = credit_shares_lib.CreditShares()
         self._table: routes_lib.Table | None = None
         self._position = site_messages.Position()
         self._entry_hosts: tuple[site_messages.EntryHost, ...] = ()
@@ -142,12 +142,12 @@
             limited_sends=lambda: self._rate_limits.outcomes,
             meter=self._meter,
         )
-        rules = admission.Rules(
+        rules = admission.AdmissionInputs(
             names=names,
             table=lambda: self._table,
             lease_until=lambda: self._watch.lease_until,
             share=lambda: 1 / max(1, len(self._entry_hosts)),
-            takes=self._accepts,
+            can_finish=self._accepts,
         )
         self._freshness = freshness_lib.Freshness(
             watch=self._watch,
@@ -155,34 +155,36 @@
             wait_for_change=self._wait_for_change,
         )
         self._credit = entry_credit.EntryCredit(
-            allowance=self._allowance,
+            credit_shares=self._credit_shares,
             watch=self._watch,
             host=settings.name,
         )
         self._repeats = entry_repeats.EntryRepeats(
             bounds=settings.bounds, watch=self._watch
         )
-        parts = forward_parts.Parts(
+        parts = forward_parts.SharedParts(
             rules=rules,
             view=self._view,
             pool=self._pool,
             credit=self._credit,
             repeats=self._repeats.budget,
-            ask_repeat=self._repeats.request,
-            missing=self._report_missing,
-            changed=self._wait_for_change,
-            confirm=self._freshness.confirm,
-            asked=self._count_demand,
-            found=self._on_target_found,
-            idle=self._watch.poke,
-            freed=self._signal_change,
-            heard_limit=self._rate_limits.heard,
-            permit=self._rate_limits.permit,
-            turn=self._turn_desk.take,
-            observe=self._metrics.observe,
+            request_repeat=self._repeats.request,
+            report_missing=self._report_missing,
+            wait_for_change=self._wait_for_change,
+            confirm_configuration=self._freshness.confirm,
+            request_received=self._count_demand,
+            target_assigned=self._on_target_found,
+            model_idle=self._watch.poke,
+            slot_freed=self._signal_change,
+            rate_limit_reported=self._rate_limits.heard,
+            acquire_send=self._rate_limits.permit,
+            prefill_delay=self._turn_desk.take,
+            record_metrics=self._metrics.observe,
         )
         self._forwarder = forward_lib.Forwarder(parts=parts)
-        self._front = call_lib.Front(serve=self._forwarder.serve, now=clock.now)
+        self._front = call_lib.RequestServer(
+            serve=self._forwarder.serve, now=clock.now
+        )
         self._server: httpserver.HTTPServer | None = None
         self._background_tasks: set[asyncio.Task[None]] = set()
 
@@ -331,7 +333,7 @@
             position=self._position,
             demand=demand,
             uses=self._view.uses(),
-            needs=self._allowance.needs(now),
+            needs=self._credit_shares.needs(now),
             failing=self._view.failing(now),
             relay=self._push_relay.relay,
             controls=self._watch.controls_digest,
@@ -365,10 +367,10 @@
 
     def _apply_renewal(self, renewed: site_messages.Renewed) -> None:
         now = clock.now()
-        self._allowance.heard_leader(now)
+        self._credit_shares.record_answer(now)
         self._rate_limits.reported()
         for grant in renewed.grants:
-            self._allowance.take(grant, now)
+            self._credit_shares.apply_grant(grant, now)
         if renewed.news is not None:
             self._take_news(renewed.news)
         if renewed.loads is not None:
@@ -482,17 +484,19 @@
             > share * self._settings.bounds.grace
         )
 
-    def _count_demand(self, work: admission.Work) -> None:
+    def _count_demand(self, work: admission.AdmittedRequest) -> None:
         if work.model and work.service.engine is not None:
             key = (work.service.name, work.model, work.adapter)
             self._demand.count(key, clock.now())
 
-    def _on_target_found(self, work: admission.Work) -> None:
+    def _on_target_found(self, work: admission.AdmittedRequest) -> None:
         self._unserved.record_service(
             (work.service.name, work.model, work.adapter)
         )
 
-    def _report_missing(self, work: admission.Work) -> Callable[[], None]:
+    def _report_missing(
+        self, work: admission.AdmittedRequest
+    ) -> Callable[[], None]:
         """Reports to the leader that a request waits for a model.
 
         Returns:
--- a/packages/endivestream/src/endivestream/process/entry_credit.py
+++ b/packages/endivestream/src/endivestream/process/entry_credit.py
@@ -8,7 +8,7 @@
 from endivestream import site_messages
 from endivestream.connection import watch as watch_lib
 from endivestream.process import credit_questions
-from endivestream.request import allowance as allowance_lib
+from endivestream.request import credit_shares as credit_shares_lib
 from endivestream.request import forward_parts
 from endivestream.version import document as document_lib
 
@@ -30,11 +30,11 @@
     def __init__(
         self,
         *,
-        allowance: allowance_lib.Allowance,
+        credit_shares: credit_shares_lib.CreditShares,
         watch: watch_lib.Watch,
         host: str,
     ) -> None:
-        self._allowance = allowance
+        self._credit_shares = credit_shares
         self._credit_requester = credit_questions.CreditRequester(
             watch=watch, host=host, on_unclaimed=self._return_unclaimed
         )
@@ -44,7 +44,7 @@
         team: document_lib.Team,
         cost: float,
         *,
-        soon: float,
+        timely_within: float,
         patience: float,
     ) -> float | None:
         """Takes credit, waiting in the team's reservation queue if useful.
@@ -52,32 +52,33 @@
         Args:
             team: The team of the request.
             cost: The request's cost.
-            soon: Seconds that the request can wait and still be in time.
+            timely_within: Seconds that the request can wait and still be in
+                time.
             patience: Seconds for which the request may wait.
 
         Returns:
             None if the credit was taken, else the seconds after which the
             caller may retry.
         """
-        allowance = self._allowance
-        allowance.ask(team.name, cost)
+        credit_shares = self._credit_shares
+        credit_shares.record_demand(team.name, cost)
         if cost > team.burst:
             # The balance never reaches this cost, however long the wait.
             return max(1.0, cost / team.rate)
         deadline = clock.now() + patience
-        soon_deadline = clock.now() + soon
+        timely_deadline = clock.now() + timely_within
         resend_deadline = deadline + patience
-        while not allowance.spend(team.name, cost, clock.now()):
+        while not credit_shares.spend(team.name, cost, clock.now()):
             now = clock.now()
             remaining = max(0.0, deadline - now)
-            if allowance.short_for(team.name, now) > remaining:
+            if credit_shares.short_for(team.name, now) > remaining:
                 # The leader's reservation queue is too long: a credit request
                 # would not be granted in time.
-                return allowance.told_for(team.name, now)
+                return credit_shares.retry_after(team.name, now)
             grant = await self._request_credit(
                 team.name,
                 cost,
-                soon=max(0.0, soon_deadline - now),
+                timely_within=max(0.0, timely_deadline - now),
                 patience=remaining,
             )
             if grant is None:
@@ -94,20 +95,20 @@
         return None
 
     async def _request_credit(
-        self, team: str, cost: float, *, soon: float, patience: float
+        self, team: str, cost: float, *, timely_within: float, patience: float
     ) -> site_messages.Grant | None:
         """Requests credit from the leader; None if it did not answer."""
-        balance = self._allowance.balance(team)
+        balance = self._credit_shares.balance(team)
         need = site_messages.Need(team, 0.0, balance, cost)
         grant = await self._credit_requester.request(
-            site_messages.CreditAsk(need, soon, patience)
+            site_messages.CreditAsk(need, timely_within, patience)
         )
         if grant is None:
             # Without a leader, the call above returns immediately.
             await asyncio.sleep(_RESEND_DELAY_SECONDS)
             return None
         immediate_grant = grant._replace(credit=0.0) if grant.after else grant
-        self._allowance.take(immediate_grant, clock.now())
+        self._credit_shares.apply_grant(immediate_grant, clock.now())
         return grant
 
     def _return_unclaimed(self, grant: site_messages.Grant) -> None:
@@ -116,7 +117,7 @@
             loop = asyncio.get_running_loop()
             loop.call_later(grant.after, self._return_reserved, grant)
         else:
-            self._allowance.take(grant, clock.now())
+            self._credit_shares.apply_grant(grant, clock.now())
 
     async def _wait_for_reservation(self, grant: site_messages.Grant) -> bool:
         """Waits for reserved credit; returns whether it is still valid."""
@@ -134,11 +135,14 @@
 
     def _return_reserved(self, grant: site_messages.Grant) -> None:
         if self._is_reservation_valid():
-            self._allowance.refund(grant.team, grant.credit)
+            self._credit_shares.refund(grant.team, grant.credit)
 
     def _is_reservation_valid(self) -> bool:
         """Returns whether the leader that made the reservation still leads."""
-        return clock.now() - self._allowance.heard <= _RESERVATION_VALID_SECONDS
+        return (
+            clock.now() - self._credit_shares.last_answer_at
+            <= _RESERVATION_VALID_SECONDS
+        )
 
     async def close(self) -> None:
         """Cancels credit requests in flight."""
@@ -146,4 +150,4 @@
 
     def refund(self, team: document_lib.Team, cost: float) -> None:
         """Returns the credit of a request that was not run."""
-        self._allowance.refund(team.name, cost)
+        self._credit_shares.refund(team.name, cost)
--- a/packages/endivestream/src/endivestream/process/handlers.py
+++ b/packages/endivestream/src/endivestream/process/handlers.py
@@ -67,7 +67,7 @@
 
     gateway: gateway_lib.Gateway
     pool: exchange_lib.Pool
-    budget: retries.Budget
+    budget: retries.RetryBudget
     rng: random.Random
 
 
@@ -261,7 +261,7 @@
                 messages.Ending(request=request, team=team, used=cost)
             )
 
-    def attempts(self, work: attempts_lib.Work) -> attempts_lib.Attempts:
+    def attempts(self, work: attempts_lib.AttemptWork) -> attempts_lib.Attempts:
         """Creates the attempts of a request."""
         return attempts_lib.Attempts(
             gateway=self.gateway,
--- a/packages/endivestream/src/endivestream/process/limiter.py
+++ b/packages/endivestream/src/endivestream/process/limiter.py
@@ -17,7 +17,7 @@
 from endivestream.version import replicate
 from endivestream.version import rules as rules_lib
 
-# A leader counts as new for this long. The portion of credit that its
+# A leader counts as new for this long. The reserve that its
 # predecessor reserved is worth one second of the rate.
 _NEW_LEADER_SECONDS = 2.0
 
@@ -115,7 +115,7 @@
         deadline = started_at + int(patience * 1e6)
         match bucket.charge(charge, now=started_at, deadline=deadline):
             case buckets.Admitted():
-                self._request_portion(message.team)
+                self._request_reserve(message.team)
                 return messages.Charged(waited=0.0)
             case buckets.TooLarge(burst=burst):
                 return messages.Refused(
@@ -183,7 +183,7 @@
             else:
                 # The waiting call has ended, so none of the credit was used.
                 bucket.settle(charge.request, used=0, now=now)
-        self._request_portion(team)
+        self._request_reserve(team)
         timer = self._timers.pop(team, None)
         if timer is not None:
             timer.cancel()
@@ -194,36 +194,38 @@
                 (at - now) / 1e6, self._on_timer, team
             )
 
-    def _request_portion(self, team: str) -> None:
-        """Requests a portion of reserved credit for a team that runs short."""
+    def _request_reserve(self, team: str) -> None:
+        """Requests a reserve for a team that runs short."""
         self._short_teams.add(team)
         if self._reserve_task is None or self._reserve_task.done():
-            self._reserve_task = asyncio.create_task(self._reserve_portions())
+            self._reserve_task = asyncio.create_task(self._commit_reserves())
 
-    async def _reserve_portions(self) -> None:
-        """Commits portions for all teams that run short, many in one entry."""
+    async def _commit_reserves(self) -> None:
+        """Commits reserves for all teams that run short, many in one entry."""
         while self._short_teams:
             names, self._short_teams = self._short_teams, set()
             now = _now_us()
             proposed = {}
             for name in names & self._buckets.keys():
-                portion = self._buckets[name].propose_portion(now)
-                if portion is not None:
-                    proposed[name] = portion
+                reserved = self._buckets[name].propose_reserve(now)
+                if reserved is not None:
+                    proposed[name] = reserved
             if not proposed:
                 continue
             accepted = await self._reserve_credit(
                 {
-                    name: credit_lib.Level(portion.rest, portion.most)
-                    for name, portion in proposed.items()
+                    name: credit_lib.Level(
+                        reserved.level_without_reserve, reserved.max_level
+                    )
+                    for name, reserved in proposed.items()
                 }
             )
             for name in proposed.keys() & self._buckets.keys():
                 bucket = self._buckets[name]
                 if accepted:
-                    bucket.confirm_portion(proposed[name])
+                    bucket.confirm_reserve(proposed[name])
                 else:
-                    bucket.drop_portion(proposed[name])
+                    bucket.drop_reserve(proposed[name])
                 self._admit_ready(name)
             if not accepted:
                 return
--- a/packages/endivestream/src/endivestream/process/site_metrics.py
+++ b/packages/endivestream/src/endivestream/process/site_metrics.py
@@ -174,7 +174,7 @@
         self._registry.register(_LimitedSendsCollector(outcomes=limited_sends))
         self._add_loop_metrics(meter)
 
-    def observe(self, ended: forward_parts.Ended) -> None:
+    def observe(self, ended: forward_parts.RequestSummary) -> None:
         """Records a finished request."""
         kind = ended.kind or "none"
         self._requests.labels(kind, ended.status, ended.reason).inc()
--- a/packages/endivestream/src/endivestream/request/admission.py
+++ b/packages/endivestream/src/endivestream/request/admission.py
@@ -23,13 +23,13 @@
 DENIAL_STATUSES = (401, 404)
 # Default delay after which a refused caller should retry, if the time at which
 # it can be served is unknown.
-COME_BACK_SECONDS = 0.5
+DEFAULT_RETRY_SECONDS = 0.5
 # The same if other hosts can serve the request immediately.
 _OTHER_HOST_RETRY_SECONDS = 0.05
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Work:
+class AdmittedRequest:
     """An admitted request.
 
     Attributes:
@@ -42,9 +42,9 @@
         model: Name of the model, or empty.
         adapter: Name of the adapter, or empty.
         session: Id shared by requests with a common prompt prefix, or empty.
-        came: Time at which the request was read.
+        arrived_at: Time at which the request was read.
         deadline: Time by which the complete answer must have been sent.
-        limit: Maximum number of this host's requests on one target.
+        max_running: Maximum number of this host's requests on one target.
     """
 
     request: str
@@ -56,12 +56,12 @@
     model: str
     adapter: str
     session: str
-    came: float
+    arrived_at: float
     deadline: float
-    limit: int
+    max_running: int
 
 
-class Rules(NamedTuple):
+class AdmissionInputs(NamedTuple):
     """Inputs of the admission decision.
 
     Attributes:
@@ -69,18 +69,20 @@
         table: Returns the current route table, or None before the first one.
         lease_until: Returns the expiry time of the configuration lease.
         share: Returns this host's share of a target's connections.
-        takes: Returns whether a request of a kind can finish before this host
-            stops.
+        can_finish: Returns whether a request of a kind can finish before this
+            host stops.
     """
 
     names: names_lib.HeaderNames
     table: Callable[[], routes_lib.Table | None]
     lease_until: Callable[[], float]
     share: Callable[[], float]
-    takes: Callable[[document_lib.Kind], bool]
+    can_finish: Callable[[document_lib.Kind], bool]
 
 
-def admit(call: call_lib.Call, rules: Rules) -> Work | findings.Failure:
+def admit(
+    call: call_lib.Call, rules: AdmissionInputs
+) -> AdmittedRequest | findings.Failure:
     """Returns the admitted request, or the reason for its refusal."""
     names = rules.names
     table = rules.table()
@@ -90,7 +92,7 @@
     if route is None:
         detail = "no route matches this host name and path"
         return findings.not_run("no_route", detail, status=404)
-    if not rules.takes(route.kind):
+    if not rules.can_finish(route.kind):
         return stopping()
     key = _parse_key(call.headers.get("Authorization", ""), names.key_scheme)
     owner = table.owner(route, key)
@@ -104,7 +106,7 @@
     model, _, adapter = call.headers.get(names.model, "").partition("/")
     tokens = _parse_tokens(call.headers.get(names.tokens, ""))
     max_running = max(1, int(service.connections * rules.share()))
-    return Work(
+    return AdmittedRequest(
         request=request,
         route=route,
         service=service,
@@ -114,9 +116,9 @@
         model=model,
         adapter=adapter,
         session=_parse_session(call.headers.get(names.prefix, "")),
-        came=call.came,
-        deadline=min(given_deadline, call.came + route.timeout),
-        limit=max_running,
+        arrived_at=call.arrived_at,
+        deadline=min(given_deadline, call.arrived_at + route.timeout),
+        max_running=max_running,
     )
 
 
@@ -132,7 +134,7 @@
     """Returns the refusal of a host without a valid configuration lease."""
     detail = "this host has no current configuration"
     return findings.not_run(
-        NO_LEASE, detail, status=503, retry_after=COME_BACK_SECONDS
+        NO_LEASE, detail, status=503, retry_after=DEFAULT_RETRY_SECONDS
     )
 
 
@@ -140,7 +142,7 @@
     """Returns the refusal of a host whose configuration may be outdated."""
     detail = "no leader confirms this host's configuration"
     return findings.not_run(
-        "unconfirmed", detail, status=503, retry_after=COME_BACK_SECONDS
+        "unconfirmed", detail, status=503, retry_after=DEFAULT_RETRY_SECONDS
     )
 
 
@@ -159,7 +161,7 @@
         seconds = float(call.headers.get(names.deadline_ms, "")) / 1000
     except ValueError:
         return math.inf
-    return call.came + seconds if math.isfinite(seconds) else math.inf
+    return call.arrived_at + seconds if math.isfinite(seconds) else math.inf
 
 
 class _RequestSize(NamedTuple):
--- a/packages/endivestream/src/endivestream/request/attempts.py
+++ b/packages/endivestream/src/endivestream/request/attempts.py
@@ -18,7 +18,7 @@
 from endivestream.request import retries
 
 
-class Work(NamedTuple):
+class AttemptWork(NamedTuple):
     """The work for which a ticket is requested.
 
     Attributes:
@@ -43,18 +43,19 @@
     """Requests and releases tickets, and decides on further attempts.
 
     Attributes:
-        why: Cause of the last attempt's failure; empty before the first.
+        failure_cause: Cause of the last attempt's failure; empty before the
+            first.
     """
 
     def __init__(
         self,
         *,
         gateway: gateway_lib.Gateway,
-        budget: retries.Budget,
+        budget: retries.RetryBudget,
         rng: random.Random,
-        work: Work,
+        work: AttemptWork,
     ) -> None:
-        self.why = ""
+        self.failure_cause = ""
         self._gateway = gateway
         self._budget = budget
         self._rng = rng
@@ -62,18 +63,21 @@
         self._attempt_number = 0
         self._failed_targets: list[str] = []
         self._target = ""
-        budget.request()
+        budget.count_request()
 
     @property
     def name(self) -> str:
         """Id of the current attempt."""
         return f"{self._work.request}.{self._attempt_number}"
 
-    async def place(self, *, begun: bool) -> messages.Ticket | findings.Failure:
+    async def acquire_ticket(
+        self, *, may_have_started: bool
+    ) -> messages.Ticket | findings.Failure:
         """Requests a ticket for the next attempt.
 
         Args:
-            begun: Whether any byte of the request may have been sent already.
+            may_have_started: Whether any byte of the request may have been sent
+                already.
 
         Returns:
             The ticket, or the reason why there is none.
@@ -96,7 +100,7 @@
         except asyncio.CancelledError:
             # The ticket may be granted after the cancellation and must be
             # released.
-            self.give_back(used=0)
+            self.release_ticket(used=0)
             raise
         if isinstance(answer, messages.Refused):
             return findings.not_run(
@@ -107,14 +111,14 @@
             )
         # A host that was frozen or waited long must not start work under a
         # configuration that may be outdated. Started work may finish.
-        failure = None if begun else self._gateway.lost_lease()
+        failure = None if may_have_started else self._gateway.lost_lease()
         if failure is not None:
-            self.give_back(used=0)
+            self.release_ticket(used=0)
             return failure
         self._target = answer.target
         return answer
 
-    def give_back(
+    def release_ticket(
         self, *, used: int, failed: bool = False, answered: bool = False
     ) -> None:
         """Releases the ticket of the current attempt."""
@@ -130,7 +134,7 @@
 
     async def may_retry(self, cause: str, *, sent: bool) -> bool:
         """Returns whether to try another target, after the backoff if so."""
-        self.why = cause
+        self.failure_cause = cause
         logs.warn(
             "attempt_failed",
             request=self._work.request,
@@ -141,7 +145,10 @@
         )
         self._failed_targets.append(self._target)
         max_attempts = self._gateway.settings.requests.attempts
-        if self._attempt_number >= max_attempts or not self._budget.retry():
+        if (
+            self._attempt_number >= max_attempts
+            or not self._budget.take_retry()
+        ):
             return False
         await asyncio.sleep(
             retries.backoff(self._attempt_number, rng=self._rng)
--- a/packages/endivestream/src/endivestream/request/buckets.py
+++ b/packages/endivestream/src/endivestream/request/buckets.py
@@ -5,10 +5,10 @@
 immediately if the refill would come after the caller's deadline.
 
 The owner may fail at any moment, and the next owner must not grant the same
-credit again. The owner therefore spends only from a *credit share* that was
-committed to the log in advance: the log has the level without the share, and
-the next owner continues from that level. Charges within a share commute and
-need no order; only shares are ordered relative to a change of owner.
+credit again. The owner therefore spends only from a *reserve* that was
+committed to the log in advance: the log has the level without the reserve, and
+the next owner continues from that level. Charges within a reserve commute and
+need no order; only reserves are ordered relative to a change of owner.
 """
 
 from __future__ import annotations
@@ -64,20 +64,22 @@
 Answer = Admitted | Wait | TooLarge | TooLate
 
 
-class CreditShare(NamedTuple):
-    """Credit share for the current owner, in millionths of a token.
+class ReservedCredit(NamedTuple):
+    """Credit reserved for the current owner, in millionths of a token.
 
     Attributes:
         size: Credit that the current owner may spend.
-        rest: Level without the share, from which the next owner continues.
-        most: Maximum level of the next owner. Without this bound a full bucket
-            would be counted twice: the current owner spends its share at the
-            last moment, and the next owner refills the rest to the full burst.
+        level_without_reserve: Level without the reserve, from which the next
+            owner continues.
+        max_level: Maximum level of the next owner. Without this bound a full
+            bucket would be counted twice: the current owner spends its reserve
+            at the last moment, and the next owner refills the rest to the full
+            burst.
     """
 
     size: int
-    rest: int
-    most: int
+    level_without_reserve: int
+    max_level: int
 
 
 class Bucket:
@@ -95,10 +97,10 @@
         self._level = (
             capacity if level is None else max(0, min(level, capacity))
         )
-        self._share = 0
-        self._share_size = 0
-        self._proposed: CreditShare | None = None
-        # Spent minus refunded credit since the last share was proposed.
+        self._reserve = 0
+        self._reserve_size = 0
+        self._proposed: ReservedCredit | None = None
+        # Spent minus refunded credit since the last reserve was proposed.
         self._spent_since_proposal = 0
         self._refilled_at = now
         self._queue: collections.deque[Charge] = collections.deque()
@@ -134,18 +136,18 @@
         self._refilled_at = now
 
     @property
-    def portion(self) -> float:
+    def reserve(self) -> float:
         """Credit in tokens that may be spent without another log entry."""
-        return self._share / _MICROS_PER_UNIT
+        return self._reserve / _MICROS_PER_UNIT
 
-    def propose_portion(self, now: int) -> CreditShare | None:
-        """Returns a share to be committed, or None if none is needed.
+    def propose_reserve(self, now: int) -> ReservedCredit | None:
+        """Returns a reserve to be committed, or None if none is needed.
 
-        The share covers the waiting charges and the refill of one second, but
+        The reserve covers the waiting charges and the refill of one second, but
         at most half of the burst unless more credit is waited for, because the
-        team loses the share if the owner fails. A new share is proposed when
-        half of the current one is spent, so that charges rarely wait for the
-        log.
+        team loses the reserve if the owner fails. A new reserve is proposed
+        when half of the current one is spent, so that charges rarely wait for
+        the log.
         """
         if self._proposed is not None:
             return None
@@ -158,15 +160,15 @@
         first_cost = (
             self._queue[0].tokens * _MICROS_PER_UNIT if self._queue else 0
         )
-        is_starved = self._share < first_cost <= self._level
+        is_starved = self._reserve < first_cost <= self._level
         # Without this minimum, a team without credit would cause one commit
         # after another, each for the few tokens refilled since the last one.
-        is_large_enough = size - self._share >= usual_size // 4
+        is_large_enough = size - self._reserve >= usual_size // 4
         if not is_starved and (
-            2 * self._share >= usual_size or not is_large_enough
+            2 * self._reserve >= usual_size or not is_large_enough
         ):
             return None
-        self._proposed = CreditShare(
+        self._proposed = ReservedCredit(
             size,
             self._level - size,
             self._burst * _MICROS_PER_UNIT - size,
@@ -174,22 +176,22 @@
         self._spent_since_proposal = 0
         return self._proposed
 
-    def confirm_portion(self, portion: CreditShare) -> None:
-        """Applies a proposed share that was committed."""
-        if self._proposed is portion:
-            # Refunds since the proposal do not increase the share: the next
-            # owner may grant everything except the size of the share.
-            self._share = portion.size - max(0, self._spent_since_proposal)
-            self._share_size = portion.size
+    def confirm_reserve(self, reserved: ReservedCredit) -> None:
+        """Applies a proposed reserve that was committed."""
+        if self._proposed is reserved:
+            # Refunds since the proposal do not increase the reserve: the next
+            # owner may grant everything except the size of the reserve.
+            self._reserve = reserved.size - max(0, self._spent_since_proposal)
+            self._reserve_size = reserved.size
             self._proposed = None
 
-    def drop_portion(self, portion: CreditShare) -> None:
-        """Drops a proposed share that was not committed."""
-        if self._proposed is portion:
+    def drop_reserve(self, reserved: ReservedCredit) -> None:
+        """Drops a proposed reserve that was not committed."""
+        if self._proposed is reserved:
             self._proposed = None
 
     def _fits(self, tokens: int) -> bool:
-        return tokens * _MICROS_PER_UNIT <= min(self._level, self._share)
+        return tokens * _MICROS_PER_UNIT <= min(self._level, self._reserve)
 
     def change(self, *, rate: int, burst: int, now: int) -> list[Charge]:
         """Sets a new rate and burst; running and waiting charges are kept.
@@ -204,9 +206,9 @@
         self._rate = rate
         self._burst = burst
         self._level = min(self._level, burst * _MICROS_PER_UNIT)
-        # A share of the old burst and one of the new burst together could
-        # exceed either, so a new share has to be committed first.
-        self._share = 0
+        # A reserve of the old burst and one of the new burst together could
+        # exceed either, so a new reserve has to be committed first.
+        self._reserve = 0
         self._proposed = None
         dropped = [c for c in self._queue if c.tokens > burst]
         for charge in dropped:
@@ -250,7 +252,7 @@
     def _spend(self, amount: int) -> None:
         """Takes credit, or refunds it if the amount is negative."""
         self._level -= amount
-        self._share = min(self._share_size, self._share - amount)
+        self._reserve = min(self._reserve_size, self._reserve - amount)
         self._spent_since_proposal += amount
 
     def ready(self, now: int) -> list[Charge]:
--- a/packages/endivestream/src/endivestream/request/call.py
+++ b/packages/endivestream/src/endivestream/request/call.py
@@ -30,7 +30,7 @@
 )
 
 
-class GoneError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller has closed its connection."""
 
 
@@ -42,7 +42,7 @@
         uri: Path and query as sent by the caller.
         headers: Headers sent by the caller.
         body: The complete body.
-        came: Time at which the last byte was read.
+        arrived_at: Time at which the last byte was read.
     """
 
     def __init__(
@@ -52,13 +52,13 @@
         start_line: httputil.RequestStartLine,
         headers: httputil.HTTPHeaders,
         body: bytes,
-        came: float,
+        arrived_at: float,
     ) -> None:
         self.method = start_line.method
         self.uri = start_line.path
         self.headers = headers
         self.body = body
-        self.came = came
+        self.arrived_at = arrived_at
         self._connection = connection
         self._head_sent = False
 
@@ -68,11 +68,11 @@
         return self.uri.partition("?")[0]
 
     @property
-    def begun(self) -> bool:
+    def head_sent(self) -> bool:
         """Whether the status line and headers of the answer have been sent."""
         return self._head_sent
 
-    async def begin(
+    async def send_head(
         self, status: int, headers: httputil.HTTPHeaders, chunk: bytes = b""
     ) -> None:
         """Sends the status line, headers and first bytes of the body."""
@@ -95,14 +95,14 @@
         try:
             await send()
         except (iostream.StreamClosedError, OSError) as error:
-            raise GoneError(str(error)) from error
+            raise CallerDisconnectedError(str(error)) from error
 
     def finish(self) -> None:
         """Marks the answer as complete."""
         try:
             self._connection.finish()
         except (iostream.StreamClosedError, OSError) as error:
-            raise GoneError(str(error)) from error
+            raise CallerDisconnectedError(str(error)) from error
 
     def abort(self) -> None:
         """Closes the connection, so that the answer is visibly incomplete."""
@@ -114,11 +114,11 @@
         """Sends a complete answer that this host produced itself."""
         answer_headers = httputil.HTTPHeaders(headers)
         answer_headers["Content-Length"] = str(len(body))
-        await self.begin(status, answer_headers, body)
+        await self.send_head(status, answer_headers, body)
         self.finish()
 
 
-class Front(httputil.HTTPServerConnectionDelegate):
+class RequestServer(httputil.HTTPServerConnectionDelegate):
     """Reads complete requests and starts a task for each.
 
     The task is cancelled when the caller closes the connection.
@@ -163,7 +163,10 @@
     """Reads one request and starts its task."""
 
     def __init__(
-        self, *, front: Front, connection: http1connection.HTTP1Connection
+        self,
+        *,
+        front: RequestServer,
+        connection: http1connection.HTTP1Connection,
     ) -> None:
         self._front = front
         self._connection = connection
@@ -191,7 +194,7 @@
             start_line=self._start_line,
             headers=self._headers,
             body=b"".join(self._chunks),
-            came=self._front._now(),
+            arrived_at=self._front._now(),
         )
         self._task = self._front.start(call)
         # Cancels the task immediately when the caller disconnects.
--- a/packages/endivestream/src/endivestream/request/allowance.py
+++ b/packages/endivestream/src/endivestream/request/credit_shares.py
@@ -16,7 +16,7 @@
 
 # A host requests credit for this many seconds of its recent demand: longer than
 # an election, so that the share does not run out while there is no leader.
-AHEAD_SECONDS = 1.5
+CREDIT_AHEAD_SECONDS = 1.5
 # Approximate time over which demand is averaged.
 _DEMAND_AVERAGE_SECONDS = 2.0
 # A host that has received nothing from a leader for this time refills its
@@ -62,7 +62,7 @@
     retry_at: float = float("-inf")
 
 
-class Allowance:
+class CreditShares:
     """Credit shares of all teams on this host."""
 
     def __init__(self) -> None:
@@ -71,10 +71,10 @@
         self._averaged_at = float("-inf")
 
     def __repr__(self) -> str:
-        return f"<Allowance of {len(self._shares)} teams>"
+        return f"<CreditShares of {len(self._shares)} teams>"
 
     @property
-    def heard(self) -> float:
+    def last_answer_at(self) -> float:
         """Time of the leader's last answer."""
         return self._leader_answered_at
 
@@ -88,12 +88,12 @@
         share = self._shares.get(team)
         return max(0.0, share.short_until - now) if share else 0.0
 
-    def told_for(self, team: str, now: float) -> float:
+    def retry_after(self, team: str, now: float) -> float:
         """Returns seconds after which a refused caller should retry."""
         share = self._shares.get(team)
         return max(0.0, share.retry_at - now) if share else 0.0
 
-    def ask(self, team: str, cost: float) -> None:
+    def record_demand(self, team: str, cost: float) -> None:
         """Counts a request's cost as demand, whether it is spent or not."""
         share = self._shares.setdefault(team, _CreditShare())
         share.requested += cost
@@ -139,7 +139,7 @@
                 weight = seconds / _DEMAND_AVERAGE_SECONDS
                 current_demand = share.requested / seconds
                 share.demand += weight * (current_demand - share.demand)
-            wanted = share.demand * AHEAD_SECONDS
+            wanted = share.demand * CREDIT_AHEAD_SECONDS
             is_idle = wanted <= _IDLE_RATIO * share.last_cost
             if is_idle:
                 wanted = 0.0
@@ -161,7 +161,7 @@
                 del self._shares[team]
         return tuple(needs)
 
-    def take(self, grant: site_messages.Grant, now: float) -> None:
+    def apply_grant(self, grant: site_messages.Grant, now: float) -> None:
         """Applies a grant of the leader to a team's share."""
         share = self._shares.setdefault(grant.team, _CreditShare())
         share.balance += grant.credit
@@ -170,6 +170,6 @@
         share.short_until = now + grant.short
         share.retry_at = now + grant.told
 
-    def heard_leader(self, now: float) -> None:
+    def record_answer(self, now: float) -> None:
         """Records that the leader answered; refills count from this time."""
         self._leader_answered_at = now
--- a/packages/endivestream/src/endivestream/request/forward.py
+++ b/packages/endivestream/src/endivestream/request/forward.py
@@ -25,7 +25,7 @@
 from endivestream.request import call as call_lib
 from endivestream.request import forward_parts
 from endivestream.request import lease_queue
-from endivestream.request import patience as patience_lib
+from endivestream.request import queue_deadlines
 from endivestream.request import sending
 from endivestream.request import target_selection
 from endivestream.version import document as document_lib
@@ -57,7 +57,7 @@
 
     call: call_lib.Call
     progress: sending.Progress
-    work: admission.Work | None = None
+    work: admission.AdmittedRequest | None = None
     is_stopped: bool = False
 
 
@@ -68,19 +68,21 @@
 class Forwarder:
     """Serves callers' requests, for the lifetime of the process."""
 
-    def __init__(self, *, parts: forward_parts.Parts) -> None:
+    def __init__(self, *, parts: forward_parts.SharedParts) -> None:
         self._parts = parts
         self._sender = sending.Sender(
             names=parts.rules.names,
             view=parts.view,
             pool=parts.pool,
-            idle=parts.idle,
-            freed=parts.freed,
-            heard_limit=parts.heard_limit,
+            model_idle=parts.model_idle,
+            slot_freed=parts.slot_freed,
+            rate_limit_reported=parts.rate_limit_reported,
         )
         self._active: dict[asyncio.Task[None], _ActiveRequest] = {}
         self._lease_queue = lease_queue.LeaseQueue(
-            rules=parts.rules, changed=parts.changed, confirm=parts.confirm
+            rules=parts.rules,
+            wait_for_change=parts.wait_for_change,
+            confirm_configuration=parts.confirm_configuration,
         )
 
     async def serve(self, call: call_lib.Call) -> None:
@@ -92,10 +94,10 @@
         self._active[task] = active
         try:
             await self._serve(active)
-        except call_lib.GoneError:
-            progress.reason = "caller_gone"
+        except call_lib.CallerDisconnectedError:
+            progress.outcome_reason = "caller_gone"
         except asyncio.CancelledError:
-            progress.reason = "caller_gone"
+            progress.outcome_reason = "caller_gone"
             if not active.is_stopped:
                 raise
             task.uncancel()
@@ -112,10 +114,10 @@
             failure = admitted
         else:
             active.work = admitted
-            self._parts.asked(admitted)
+            self._parts.request_received(admitted)
             failure = await self._serve_admitted(call, admitted, progress)
         if failure is not None:
-            progress.reason = failure.reason
+            progress.outcome_reason = failure.reason
             await self._answer_failure(call, progress, failure)
 
     def stop_waiting(self) -> None:
@@ -124,7 +126,7 @@
             kind = document_lib.Kind.STREAM
             if active.work is not None:
                 kind = active.work.route.kind
-            if not active.progress.is_sent and not self._parts.rules.takes(
+            if not active.progress.is_sent and not self._parts.rules.can_finish(
                 kind
             ):
                 self._stop_request(task, active)
@@ -137,7 +139,7 @@
     def _stop_request(
         self, task: asyncio.Task[None], active: _ActiveRequest
     ) -> None:
-        if active.is_stopped or active.call.begun:
+        if active.is_stopped or active.call.head_sent:
             # A partly sent answer continues while the process runs.
             return
         active.is_stopped = True
@@ -155,33 +157,33 @@
         failure = admission.stopping()
         if work is not None:
             failure = self._stop_failure(work, progress)
-        progress.reason = "stopping"
+        progress.outcome_reason = "stopping"
         try:
             await self._answer_failure(call, progress, failure)
-        except call_lib.GoneError:
-            progress.reason = "caller_gone"
+        except call_lib.CallerDisconnectedError:
+            progress.outcome_reason = "caller_gone"
 
     def _log_completion(
         self,
         call: call_lib.Call,
-        work: admission.Work | None,
+        work: admission.AdmittedRequest | None,
         progress: sending.Progress,
     ) -> None:
         now = clock.now()
         is_admitted = work is not None
-        summary = forward_parts.Ended(
+        summary = forward_parts.RequestSummary(
             route=work.route.name if is_admitted else "",
             kind=work.route.kind if is_admitted else "",
             team=work.team.name if is_admitted and work.team else "",
             status=progress.status,
-            reason=progress.reason,
-            waited=(progress.waited or now) - call.came,
-            first=(progress.first or now) - call.came,
-            total=now - call.came,
-            gap=progress.gap,
-            tries=progress.sends,
+            reason=progress.outcome_reason,
+            waited=(progress.first_sent_at or now) - call.arrived_at,
+            first=(progress.first_byte_at or now) - call.arrived_at,
+            total=now - call.arrived_at,
+            gap=progress.longest_gap,
+            tries=progress.request_attempts,
         )
-        self._parts.observe(summary)
+        self._parts.record_metrics(summary)
         table = self._parts.rules.table()
         logs.event(
             "request",
@@ -198,8 +200,8 @@
             refusals=progress.refusals,
             waited_ms=summary.waited * 1e3,
             first_ms=summary.first * 1e3,
-            gap_ms=progress.gap * 1e3,
-            turn_ms=progress.turn * 1e3,
+            gap_ms=progress.longest_gap * 1e3,
+            turn_ms=progress.turn_seconds * 1e3,
             total_ms=summary.total * 1e3,
             version=table.document.version if table else 0,
             lease_s=self._parts.rules.lease_until() - now,
@@ -210,7 +212,7 @@
     async def _serve_admitted(
         self,
         call: call_lib.Call,
-        work: admission.Work,
+        work: admission.AdmittedRequest,
         progress: sending.Progress,
     ) -> findings.Failure | None:
         """Returns None once a complete answer has been relayed."""
@@ -218,19 +220,24 @@
         refusal = await self._charge(work)
         if refusal is not None:
             return refusal
-        self._parts.repeats(work.service.name).came(clock.now())
+        self._parts.repeats(work.service.name).record_arrival(clock.now())
         try:
             return await self._attempt_until_final(call, work, progress)
         finally:
             if not progress.may_have_run and work.team is not None:
                 self._parts.credit.refund(work.team, work.cost)
 
-    async def _charge(self, work: admission.Work) -> findings.Failure | None:
+    async def _charge(
+        self, work: admission.AdmittedRequest
+    ) -> findings.Failure | None:
         if work.team is None or work.team.rate <= 0:
             return None
         now = clock.now()
-        wait_deadline = patience_lib.until_place(
-            route=work.route, came=work.came, heard=0.0, deadline=work.deadline
+        wait_deadline = queue_deadlines.target_wait_deadline(
+            route=work.route,
+            arrived_at=work.arrived_at,
+            last_sent_at=0.0,
+            deadline=work.deadline,
         )
         timely_wait = min(
             work.deadline - now,
@@ -239,7 +246,7 @@
         retry_after = await self._parts.credit.take(
             work.team,
             work.cost,
-            soon=max(0.0, timely_wait),
+            timely_within=max(0.0, timely_wait),
             patience=max(0.0, wait_deadline - now),
         )
         if retry_after is None:
@@ -252,7 +259,7 @@
     async def _attempt_until_final(
         self,
         call: call_lib.Call,
-        work: admission.Work,
+        work: admission.AdmittedRequest,
         progress: sending.Progress,
     ) -> findings.Failure | None:
         while True:
@@ -268,13 +275,15 @@
             if not await self._acquire_send_permit(work, progress, target):
                 continue
             progress.stage = "repeat"
-            if progress.sends and not await self._acquire_repeat(work):
+            if progress.request_attempts and not await self._acquire_repeat(
+                work
+            ):
                 return self._not_served(work, progress, "no_repeats_left")
             result = await self._sender.send(call, work, progress, target)
             match result:
                 case sending.Passed(status=status):
                     progress.status = status
-                    progress.reason = "served"
+                    progress.outcome_reason = "served"
                     return None
                 case sending.Refused():
                     failure = await self._after_refusal(work, progress, result)
@@ -289,7 +298,7 @@
 
     async def _acquire_send_permit(
         self,
-        work: admission.Work,
+        work: admission.AdmittedRequest,
         progress: sending.Progress,
         picked: target_selection.Selected,
     ) -> bool:
@@ -301,7 +310,7 @@
         progress.stage = "limit"
         now = clock.now()
         wait_deadline = self._target_wait_deadline(work, progress)
-        retry_seconds = await self._parts.permit(
+        retry_seconds = await self._parts.acquire_send(
             registration, max(0.0, wait_deadline - now)
         )
         if retry_seconds is not None:
@@ -312,35 +321,37 @@
             registration, sending.target_requirements(work, progress)
         )
 
-    async def _acquire_repeat(self, work: admission.Work) -> bool:
+    async def _acquire_repeat(self, work: admission.AdmittedRequest) -> bool:
         service = work.service.name
         if self._parts.repeats(service).spend(clock.now()):
             return True
-        return await self._parts.ask_repeat(service)
+        return await self._parts.request_repeat(service)
 
     async def _after_refusal(
         self,
-        work: admission.Work,
+        work: admission.AdmittedRequest,
         progress: sending.Progress,
         refusal: sending.Refused,
     ) -> findings.Failure | None:
         progress.refusals += 1
-        if refusal.what:
-            self._parts.view.record_denied(progress.target, refusal.what)
+        if refusal.missing_model:
+            self._parts.view.record_denied(
+                progress.target, refusal.missing_model
+            )
         remaining = work.deadline - clock.now()
         if (
             progress.refusals >= _MAX_REFUSALS
             or remaining <= _REFUSAL_PAUSE_SECONDS
         ):
             return self._not_served(work, progress, f"refused_{refusal.status}")
-        if not refusal.what:
+        if not refusal.missing_model:
             await asyncio.sleep(_REFUSAL_PAUSE_SECONDS * progress.refusals)
         return None
 
     async def _after_broken_attempt(
         self,
         call: call_lib.Call,
-        work: admission.Work,
+        work: admission.AdmittedRequest,
         progress: sending.Progress,
         broken: sending.BrokenAttempt,
     ) -> findings.Failure | _AnswerFinal | None:
@@ -350,34 +361,34 @@
             None to send it again, the failure to answer with, or
             `_AnswerFinal` if the answer to the caller has ended here.
         """
-        if not broken.sent:
+        if not broken.bytes_sent:
             progress.refusals += 1
             if progress.refusals >= _MAX_REFUSALS:
-                return self._not_served(work, progress, broken.why)
+                return self._not_served(work, progress, broken.reason)
             return None
-        progress.tried.append(progress.target)
+        progress.attempted_targets.append(progress.target)
         may_repeat = (
             work.route.is_repeatable
-            and len(progress.tried) < work.route.max_attempts
+            and len(progress.attempted_targets) < work.route.max_attempts
             and clock.now() < work.deadline
         )
         if may_repeat:
             return None
-        if call.begun:
+        if call.head_sent:
             # Part of an answer has been sent; it must not appear complete.
             call.abort()
-            progress.reason = broken.why
+            progress.outcome_reason = broken.reason
             return _AnswerFinal()
         if broken.answer is not None:
             await self._sender.relay_complete_answer(
                 call, progress, broken.answer
             )
-            progress.reason = broken.why
+            progress.outcome_reason = broken.reason
             return _AnswerFinal()
-        return self._not_served(work, progress, broken.why)
+        return self._not_served(work, progress, broken.reason)
 
     def _stop_failure(
-        self, work: admission.Work, progress: sending.Progress
+        self, work: admission.AdmittedRequest, progress: sending.Progress
     ) -> findings.Failure:
         """Returns the failure for a request that waits on a stopping host."""
         if progress.may_have_run:
@@ -386,7 +397,7 @@
 
     def _not_served(
         self,
-        work: admission.Work,
+        work: admission.AdmittedRequest,
         progress: sending.Progress,
         reason: str,
         expected: float | None = None,
@@ -402,8 +413,10 @@
         now = clock.now()
         is_past_deadline = now >= work.deadline
         if not progress.may_have_run:
-            retry_after = patience_lib.come_back(
-                expected=expected, now=now, usual=admission.COME_BACK_SECONDS
+            retry_after = queue_deadlines.retry_after_seconds(
+                expected=expected,
+                now=now,
+                usual=admission.DEFAULT_RETRY_SECONDS,
             )
             return findings.not_run(
                 reason,
@@ -421,11 +434,11 @@
     # Choice of a target.
 
     async def _wait_for_target(
-        self, work: admission.Work, progress: sending.Progress
+        self, work: admission.AdmittedRequest, progress: sending.Progress
     ) -> target_selection.Selected | findings.Failure:
         """Returns a target, waiting for one if it can still be in time."""
         free_slot_deadline = (
-            work.came + work.route.objective * _FREE_SLOT_OBJECTIVES
+            work.arrived_at + work.route.objective * _FREE_SLOT_OBJECTIVES
         )
         wait_deadline = self._target_wait_deadline(work, progress)
         wait_deadline = min(
@@ -442,10 +455,10 @@
                     work, progress, can_wait=now < free_slot_deadline
                 )
                 pick = self._parts.view.pick(
-                    requirements, now, limit=work.limit
+                    requirements, now, limit=work.max_running
                 )
                 if isinstance(pick, target_selection.Selected):
-                    self._parts.found(work)
+                    self._parts.target_assigned(work)
                     return pick
                 if (
                     now >= wait_deadline
@@ -454,7 +467,7 @@
                     return self._not_served(
                         work, progress, pick.reason, pick.expected
                     )
-                if not self._parts.rules.takes(work.route.kind):
+                if not self._parts.rules.can_finish(work.route.kind):
                     # It could still be waiting when the process ends; its
                     # caller would get a closed connection.
                     return self._stop_failure(work, progress)
@@ -462,45 +475,52 @@
                     "no_model",
                     "no_adapter",
                 ):
-                    stop_reporting_missing = self._parts.missing(work)
-                await self._parts.changed(min(wait_deadline - now, 0.1))
+                    stop_reporting_missing = self._parts.report_missing(work)
+                await self._parts.wait_for_change(min(wait_deadline - now, 0.1))
         finally:
             if stop_reporting_missing is not None:
                 stop_reporting_missing()
 
     def _target_wait_deadline(
-        self, work: admission.Work, progress: sending.Progress
+        self, work: admission.AdmittedRequest, progress: sending.Progress
     ) -> float:
-        return patience_lib.until_place(
+        return queue_deadlines.target_wait_deadline(
             route=work.route,
-            came=work.came,
-            heard=progress.last,
+            arrived_at=work.arrived_at,
+            last_sent_at=progress.last_relayed_at,
             deadline=work.deadline,
         )
 
     async def _wait_for_prefill_turn(
         self,
-        work: admission.Work,
+        work: admission.AdmittedRequest,
         progress: sending.Progress,
         picked: target_selection.Selected,
     ) -> bool:
         """Waits for the prefill turn; returns False if there is no wait."""
-        if progress.sends or not work.prompt or work.service.engine is None:
+        if (
+            progress.request_attempts
+            or not work.prompt
+            or work.service.engine is None
+        ):
             return False
         registration = picked.target.said
         rank = sending.priority(work)
-        wait = await self._parts.turn(
+        wait = await self._parts.prefill_delay(
             registration.name, registration.domain, work.prompt, rank
         )
         now = clock.now()
         self._parts.view.set_turn(registration.name, now + wait)
-        latest_turn = patience_lib.until_turn(
-            route=work.route, came=work.came, now=now, deadline=work.deadline
+        latest_turn = queue_deadlines.turn_wait_deadline(
+            route=work.route,
+            arrived_at=work.arrived_at,
+            now=now,
+            deadline=work.deadline,
         )
         wait = min(wait, latest_turn - now)
         if wait <= 0:
             return False
-        progress.turn = wait
+        progress.turn_seconds = wait
         progress.stage = "turn"
         await asyncio.sleep(wait)
         return True
@@ -513,7 +533,7 @@
         progress: sending.Progress,
         failure: findings.Failure,
     ) -> None:
-        if call.begun:
+        if call.head_sent:
             call.abort()
             return
         progress.status = failure.status
--- a/packages/endivestream/src/endivestream/request/forward_parts.py
+++ b/packages/endivestream/src/endivestream/request/forward_parts.py
@@ -22,7 +22,7 @@
         team: document_lib.Team,
         cost: float,
         *,
-        soon: float,
+        timely_within: float,
         patience: float,
     ) -> float | None:
         """Takes credit, waiting for it if the request can still be in time.
@@ -30,7 +30,7 @@
         Args:
             team: The team that is charged.
             cost: Credit to take.
-            soon: Seconds that the request can wait and still meet its
+            timely_within: Seconds that the request can wait and still meet its
                 objective.
             patience: Maximum seconds that it can wait.
 
@@ -45,7 +45,7 @@
         raise NotImplementedError
 
 
-class Parts(NamedTuple):
+class SharedParts(NamedTuple):
     """Services and callbacks shared by all requests of this host.
 
     Attributes:
@@ -54,50 +54,51 @@
         pool: Connections to targets.
         credit: Source of teams' credit.
         repeats: Returns this host's repeat budget for a service.
-        ask_repeat: Requests one repeat from the leader, out of a service's
+        request_repeat: Requests one repeat from the leader, out of a service's
             shared repeat budget; returns whether it was granted.
-        missing: Reports to the planner what no target holds; returns a
+        report_missing: Reports to the planner what no target holds; returns a
             callback that ends the report.
-        changed: Waits until targets change, up to the given seconds.
-        confirm: Waits until this host's configuration is confirmed as the
-            newest, up to the given seconds; returns whether it was.
-        asked: Counts a request for a model.
-        found: Called when a request has been assigned a target.
-        idle: Called when the last run of a model that is to be unloaded has
-            ended.
-        freed: Called when a slot on a target may be free.
-        permit: Waits until a request may be sent to a rate-limited target, up
-            to the given seconds. Returns None if it may, else the seconds
-            after which the target may be tried again.
-        heard_limit: Called for each answer of a target with the text of its
-            rate limit header; None without the header.
-        turn: Returns seconds until the prefill turn of a prompt, by the
-            engine, its failure domain, the prompt's tokens and rank.
-        observe: Records the metrics of a finished request.
+        wait_for_change: Waits until targets change, up to the given seconds.
+        confirm_configuration: Waits until this host's configuration is
+            confirmed as the newest, up to the given seconds; returns whether it
+            was.
+        request_received: Counts a request for a model.
+        target_assigned: Called when a request has been assigned a target.
+        model_idle: Called when the last run of a model that is to be unloaded
+            has ended.
+        slot_freed: Called when a slot on a target may be free.
+        acquire_send: Waits until a request may be sent to a rate-limited
+            target, up to the given seconds. Returns None if it may, else the
+            seconds after which the target may be tried again.
+        rate_limit_reported: Called for each answer of a target with the text of
+            its rate limit header; None without the header.
+        prefill_delay: Returns seconds until the prefill turn of a prompt, by
+            the engine, its failure domain, the prompt's tokens and rank.
+        record_metrics: Records the metrics of a finished request.
     """
 
-    rules: admission.Rules
+    rules: admission.AdmissionInputs
     view: target_selection.TargetView
     pool: exchange_lib.Pool
     credit: Credit
     repeats: Callable[[str], repeats_lib.RepeatBudget]
-    ask_repeat: Callable[[str], Awaitable[bool]]
-    missing: Callable[[admission.Work], Callable[[], None]]
-    changed: Callable[[float], Awaitable[None]]
-    confirm: Callable[[float], Awaitable[bool]]
-    asked: Callable[[admission.Work], None]
-    found: Callable[[admission.Work], None]
-    idle: Callable[[], None]
-    freed: Callable[[], None]
-    permit: Callable[
+    request_repeat: Callable[[str], Awaitable[bool]]
+    report_missing: Callable[[admission.AdmittedRequest], Callable[[], None]]
+    wait_for_change: Callable[[float], Awaitable[None]]
+    confirm_configuration: Callable[[float], Awaitable[bool]]
+    request_received: Callable[[admission.AdmittedRequest], None]
+    target_assigned: Callable[[admission.AdmittedRequest], None]
+    model_idle: Callable[[], None]
+    slot_freed: Callable[[], None]
+    acquire_send: Callable[
         [registry_lib.Registration, float], Awaitable[float | None]
     ]
-    heard_limit: Callable[[registry_lib.Registration, str | None], None]
-    turn: Callable[[str, str, float, int], Awaitable[float]]
-    observe: Callable[[Ended], None]
+    rate_limit_reported: Callable[[registry_lib.Registration, str | None], None]
+    prefill_delay: Callable[[str, str, float, int], Awaitable[float]]
+    record_metrics: Callable[[RequestSummary], None]
 
 
-class Ended(NamedTuple):
+class RequestSummary(NamedTuple):
     """A finished request, for logs and metrics.
 
     Attributes:
--- a/packages/endivestream/src/endivestream/request/generation.py
+++ b/packages/endivestream/src/endivestream/request/generation.py
@@ -20,7 +20,7 @@
 
     Attributes:
         model: The requested model or adapter.
-        needs: The model that a target must have loaded.
+        required_model: The model that a target must have loaded.
         chat: Whether the answer is a chat message or plain text.
         stream: Whether the caller requested a stream of events.
         cost: Tokens to charge: prompt plus maximum generated tokens.
@@ -31,7 +31,7 @@
     """
 
     model: str
-    needs: str
+    required_model: str
     chat: bool
     stream: bool
     cost: int
--- a/packages/endivestream/src/endivestream/request/lease_queue.py
+++ b/packages/endivestream/src/endivestream/request/lease_queue.py
@@ -17,13 +17,13 @@
 from endivestream import findings
 from endivestream.request import admission
 from endivestream.request import call as call_lib
-from endivestream.request import patience
+from endivestream.request import queue_deadlines
 from endivestream.version import document as document_lib
 
 # Maximum number of waiting requests and of bytes in their bodies. Without these
 # limits memory would grow with every caller during an outage.
-_MOST_REQUESTS = 500
-_MOST_BYTES = 16 * 1024 * 1024
+_MAX_REQUESTS = 500
+_MAX_BYTES = 16 * 1024 * 1024
 
 
 class LeaseQueue:
@@ -32,23 +32,23 @@
     def __init__(
         self,
         *,
-        rules: admission.Rules,
-        changed: Callable[[float], Awaitable[None]],
-        confirm: Callable[[float], Awaitable[bool]],
+        rules: admission.AdmissionInputs,
+        wait_for_change: Callable[[float], Awaitable[None]],
+        confirm_configuration: Callable[[float], Awaitable[bool]],
     ) -> None:
         """Initializes an empty queue.
 
         Args:
             rules: Inputs of the admission decision.
-            changed: Waits until a lease, a configuration or targets change,
-                at most for the given number of seconds.
-            confirm: Waits until the leader confirms that this host has the
-                newest configuration, at most for the given number of seconds.
-                Returns whether it was confirmed.
+            wait_for_change: Waits until a lease, a configuration or targets
+                change, at most for the given number of seconds.
+            confirm_configuration: Waits until the leader confirms that this
+                host has the newest configuration, at most for the given number
+                of seconds. Returns whether it was confirmed.
         """
-        self._confirm = confirm
+        self._confirm_configuration = confirm_configuration
         self._rules = rules
-        self._changed = changed
+        self._wait_for_change = wait_for_change
         self._requests = 0
         self._body_bytes = 0
 
@@ -57,7 +57,7 @@
 
     async def admit(
         self, call: call_lib.Call
-    ) -> admission.Work | findings.Failure:
+    ) -> admission.AdmittedRequest | findings.Failure:
         """Admits a request, after waiting for the lease if necessary.
 
         Returns:
@@ -81,49 +81,51 @@
 
     async def _admit_confirmed(
         self, call: call_lib.Call
-    ) -> admission.Work | findings.Failure:
+    ) -> admission.AdmittedRequest | findings.Failure:
         """Admits a request after the leader confirmed the configuration."""
-        until = patience.until_confirmed(
-            came=call.came,
+        until = queue_deadlines.confirmation_deadline(
+            arrived_at=call.arrived_at,
             deadline=admission.caller_deadline(call, self._rules.names),
         )
-        if not await self._confirm(until - clock.now()):
+        if not await self._confirm_configuration(until - clock.now()):
             return admission.unconfirmed()
         return admission.admit(call, self._rules)
 
     def _has_room(self, call: call_lib.Call) -> bool:
         return (
-            self._requests < _MOST_REQUESTS
-            and self._body_bytes + len(call.body) <= _MOST_BYTES
+            self._requests < _MAX_REQUESTS
+            and self._body_bytes + len(call.body) <= _MAX_BYTES
         )
 
     async def _wait_for_lease(
-        self, call: call_lib.Call, work: admission.Work | findings.Failure
-    ) -> admission.Work | findings.Failure:
+        self,
+        call: call_lib.Call,
+        work: admission.AdmittedRequest | findings.Failure,
+    ) -> admission.AdmittedRequest | findings.Failure:
         rules = self._rules
-        until = patience.until_lease(
-            came=call.came,
+        until = queue_deadlines.lease_wait_deadline(
+            arrived_at=call.arrived_at,
             deadline=admission.caller_deadline(call, rules.names),
             fresh=rules.lease_until() == -math.inf,
         )
         while _lacks_lease(work) and (remaining := until - clock.now()) > 0:
             # The route is not known yet, so the request may be a stream, which
             # takes longest to finish.
-            if not rules.takes(document_lib.Kind.STREAM):
+            if not rules.can_finish(document_lib.Kind.STREAM):
                 return admission.stopping()
-            await self._changed(remaining)
+            await self._wait_for_change(remaining)
             work = admission.admit(call, rules)
         return work
 
 
-def _is_denial(work: admission.Work | findings.Failure) -> bool:
+def _is_denial(work: admission.AdmittedRequest | findings.Failure) -> bool:
     return (
         isinstance(work, findings.Failure)
         and work.status in admission.DENIAL_STATUSES
     )
 
 
-def _lacks_lease(work: admission.Work | findings.Failure) -> bool:
+def _lacks_lease(work: admission.AdmittedRequest | findings.Failure) -> bool:
     return (
         isinstance(work, findings.Failure) and work.reason == admission.NO_LEASE
     )
--- a/packages/endivestream/src/endivestream/request/patience.py
+++ b/packages/endivestream/src/endivestream/request/queue_deadlines.py
@@ -52,14 +52,16 @@
 _LEASE_RENEWAL_SECONDS = 0.25
 
 
-def until_lease(*, came: float, deadline: float, fresh: bool) -> float:
+def lease_wait_deadline(
+    *, arrived_at: float, deadline: float, fresh: bool
+) -> float:
     """Returns the time until which a request waits for this host's lease.
 
     The route is unknown without a lease, so the request may be a stream with
     the shortest allowed silence.
 
     Args:
-        came: Time at which the request was read, in seconds.
+        arrived_at: Time at which the request was read, in seconds.
         deadline: Deadline of the caller, in seconds.
         fresh: Whether this process has never had a lease. If it started
             together with all others, it finds a leader within the time of an
@@ -70,45 +72,53 @@
         if fresh
         else _LEASE_RENEWAL_SECONDS
     )
-    return came + min(max_wait, _LEASE_WAIT_SHARE * max(0.0, deadline - came))
+    return arrived_at + min(
+        max_wait, _LEASE_WAIT_SHARE * max(0.0, deadline - arrived_at)
+    )
 
 
-def until_confirmed(*, came: float, deadline: float) -> float:
+def confirmation_deadline(*, arrived_at: float, deadline: float) -> float:
     """Returns the time until which a request waits for a confirmation.
 
     The leader confirms that this host has the newest configuration.
 
     Args:
-        came: Time at which the request was read, in seconds.
+        arrived_at: Time at which the request was read, in seconds.
         deadline: Deadline of the caller, in seconds.
     """
-    max_wait = _LEASE_WAIT_SHARE * max(0.0, deadline - came)
-    return came + min(_CONFIRMATION_SECONDS, max_wait)
+    max_wait = _LEASE_WAIT_SHARE * max(0.0, deadline - arrived_at)
+    return arrived_at + min(_CONFIRMATION_SECONDS, max_wait)
 
 
-def until_place(
-    *, route: document_lib.Route, came: float, heard: float, deadline: float
+def target_wait_deadline(
+    *,
+    route: document_lib.Route,
+    arrived_at: float,
+    last_sent_at: float,
+    deadline: float,
 ) -> float:
     """Returns the time until which a request waits for a target.
 
     Args:
         route: Route of the request.
-        came: Time at which the request was read, in seconds.
-        heard: Time at which the last part of the answer was sent to the
+        arrived_at: Time at which the request was read, in seconds.
+        last_sent_at: Time at which the last part of the answer was sent to the
             caller; 0 if there was none.
         deadline: Time by which the complete answer must have been sent, in
             seconds.
     """
-    until = came + _TARGET_WAIT_SHARE * max(0.0, deadline - came)
+    until = arrived_at + _TARGET_WAIT_SHARE * max(0.0, deadline - arrived_at)
     if route.kind == document_lib.Kind.STREAM:
         until = min(
-            until, max(came, heard) + _SILENCE_WAIT_SHARE * silence(route)
+            until,
+            max(arrived_at, last_sent_at)
+            + _SILENCE_WAIT_SHARE * silence_limit(route),
         )
     return until
 
 
-def until_turn(
-    *, route: document_lib.Route, came: float, now: float, deadline: float
+def turn_wait_deadline(
+    *, route: document_lib.Route, arrived_at: float, now: float, deadline: float
 ) -> float:
     """Returns the time until which a request waits for its prefill turn.
 
@@ -117,18 +127,20 @@
 
     Args:
         route: Route of the request.
-        came: Time at which the request was read, in seconds.
+        arrived_at: Time at which the request was read, in seconds.
         now: Current time, in seconds.
         deadline: Time by which the complete answer must have been sent, in
             seconds.
     """
-    latest = came + _TURN_OBJECTIVE_SHARE * route.objective
+    latest = arrived_at + _TURN_OBJECTIVE_SHARE * route.objective
     if now < latest:
         return min(latest, deadline)
-    return until_place(route=route, came=came, heard=0.0, deadline=deadline)
+    return target_wait_deadline(
+        route=route, arrived_at=arrived_at, last_sent_at=0.0, deadline=deadline
+    )
 
 
-def silence(route: document_lib.Route) -> float:
+def silence_limit(route: document_lib.Route) -> float:
     """Returns the seconds for which callers of a stream wait for an event."""
     return max(
         _SILENCE_SECONDS,
@@ -137,7 +149,9 @@
     )
 
 
-def come_back(*, expected: float | None, now: float, usual: float) -> float:
+def retry_after_seconds(
+    *, expected: float | None, now: float, usual: float
+) -> float:
     """Returns the seconds after which a refused caller should retry.
 
     Args:
--- a/packages/endivestream/src/endivestream/request/relay.py
+++ b/packages/endivestream/src/endivestream/request/relay.py
@@ -120,7 +120,9 @@
     async def run(self) -> Finished | findings.Failure:
         """Runs attempts until one finishes or no retry is allowed."""
         while True:
-            ticket = await self._attempts.place(begun=self._sent)
+            ticket = await self._attempts.acquire_ticket(
+                may_have_started=self._sent
+            )
             if isinstance(ticket, findings.Failure):
                 return self._failure_without_ticket(ticket)
             result = await self._run_on(ticket)
@@ -152,7 +154,7 @@
             result = await self._run_attempt(self._attempts.name, ticket)
             return result
         finally:
-            self._attempts.give_back(
+            self._attempts.release_ticket(
                 used=self._tokens - tokens_before,
                 failed=isinstance(result, _AttemptFailed),
                 answered=isinstance(result, Finished | _Rejected),
@@ -161,12 +163,12 @@
     def _failure_without_ticket(
         self, failure: findings.Failure
     ) -> findings.Failure:
-        if not self._attempts.why:
+        if not self._attempts.failure_cause:
             return failure
         return self._failure(
             "target_failed",
-            f"the target failed ({self._attempts.why}) and no other is "
-            f"available: {failure.detail}",
+            f"the target failed ({self._attempts.failure_cause}) and no other "
+            f"is available: {failure.detail}",
         )
 
     def _failure(self, reason: str, detail: str) -> findings.Failure:
@@ -224,7 +226,7 @@
                 "Endivestream-Request": self._request,
                 "Endivestream-Attempt": name,
                 "Endivestream-Team": self._team,
-                "Endivestream-Model": self._generation.needs,
+                "Endivestream-Model": self._generation.required_model,
             },
             msgspec.json.encode(body),
             connect_seconds=self._requests.connect_seconds,
--- a/packages/endivestream/src/endivestream/request/repeats.py
+++ b/packages/endivestream/src/endivestream/request/repeats.py
@@ -64,7 +64,7 @@
         """Sets the number of hosts that share the fixed number."""
         self._hosts = max(1, hosts)
 
-    def came(self, now: float) -> None:
+    def record_arrival(self, now: float) -> None:
         """Counts a request that arrived from a caller."""
         self._arrivals.append(now)
 
--- a/packages/endivestream/src/endivestream/request/retries.py
+++ b/packages/endivestream/src/endivestream/request/retries.py
@@ -12,7 +12,7 @@
 _MAX_CREDIT = 100.0
 
 
-class Budget:
+class RetryBudget:
     """Retries as a share of recent requests.
 
     When targets fail for all requests, retries would multiply the load by the
@@ -29,11 +29,11 @@
         """Retries that may be made now."""
         return self._credit
 
-    def request(self) -> None:
+    def count_request(self) -> None:
         """Counts a first attempt."""
         self._credit = min(_MAX_CREDIT, self._credit + self._share)
 
-    def retry(self) -> bool:
+    def take_retry(self) -> bool:
         """Takes one retry, if there is credit."""
         if self._credit < 1.0:
             return False
@@ -42,7 +42,11 @@
 
 
 def backoff(
-    attempt: int, *, rng: random.Random, base: float = 0.02, most: float = 1.0
+    attempt: int,
+    *,
+    rng: random.Random,
+    base: float = 0.02,
+    max_bound: float = 1.0,
 ) -> float:
     """Returns the seconds before the next attempt, with full jitter.
 
@@ -50,6 +54,6 @@
         attempt: Attempts made so far, from 1.
         rng: Source of the jitter.
         base: The upper bound after one attempt, in seconds.
-        most: The maximum upper bound, in seconds.
+        max_bound: The maximum upper bound, in seconds.
     """
-    return rng.uniform(0.0, min(most, base * 2 ** (attempt - 1)))
+    return rng.uniform(0.0, min(max_bound, base * 2 ** (attempt - 1)))
--- a/packages/endivestream/src/endivestream/request/sending.py
+++ b/packages/endivestream/src/endivestream/request/sending.py
@@ -43,36 +43,38 @@
     """State of a request and its attempts.
 
     Attributes:
-        tried: Targets that may have run it.
+        attempted_targets: Targets that may have run it.
         refusals: Number of refusals by targets that did not run it.
-        sends: Number of attempts.
+        request_attempts: Number of attempts.
         may_have_run: Whether some target may have run it.
         last_event: Id of the last event relayed, in a stream.
-        waited: When it was first sent, i.e. when its wait for a target ended.
-        first: When the first byte of the answer arrived.
-        last: When a chunk of a stream was last relayed.
-        turn: Seconds that it waited for its prefill turn at an engine.
-        gap: Longest pause between two chunks of a stream so far, in seconds.
+        first_sent_at: When it was first sent, i.e. when its wait for a target
+            ended.
+        first_byte_at: When the first byte of the answer arrived.
+        last_relayed_at: When a chunk of a stream was last relayed.
+        turn_seconds: Seconds that it waited for its prefill turn at an engine.
+        longest_gap: Longest pause between two chunks of a stream so far, in
+            seconds.
         status: The status sent.
-        reason: Reason of the outcome.
+        outcome_reason: Reason of the outcome.
         target: The last target.
         starting: Requirements of the current attempt, until its first event.
         stage: What it waits for: `lease`, `credit`, `place`, `turn`, `limit`,
             `repeat` or `target`.
     """
 
-    tried: list[str] = dataclasses.field(default_factory=list)
+    attempted_targets: list[str] = dataclasses.field(default_factory=list)
     refusals: int = 0
-    sends: int = 0
+    request_attempts: int = 0
     may_have_run: bool = False
     last_event: bytes = b""
-    waited: float = 0.0
-    first: float = 0.0
-    last: float = 0.0
-    turn: float = 0.0
-    gap: float = 0.0
+    first_sent_at: float = 0.0
+    first_byte_at: float = 0.0
+    last_relayed_at: float = 0.0
+    turn_seconds: float = 0.0
+    longest_gap: float = 0.0
     status: int = 0
-    reason: str = ""
+    outcome_reason: str = ""
     target: str = ""
     starting: target_selection.TargetRequirements | None = None
     stage: str = "lease"
@@ -88,26 +90,26 @@
 
     Attributes:
         status: Status of its answer.
-        what: The model that the target lacks, or MODEL/ADAPTER, for status
-            421; else empty.
+        missing_model: The model that the target lacks, or MODEL/ADAPTER, for
+            status 421; else empty.
     """
 
     status: int
-    what: str
+    missing_model: str
 
 
 class BrokenAttempt(NamedTuple):
     """An attempt that ended without a complete answer.
 
     Attributes:
-        sent: Whether any byte of the request may have been sent.
-        why: Reason, for the caller and the log.
+        bytes_sent: Whether any byte of the request may have been sent.
+        reason: Reason, for the caller and the log.
         answer: The target's answer, if it is complete and has a status of 500
             or more.
     """
 
-    sent: bool
-    why: str
+    bytes_sent: bool
+    reason: str
     answer: Answer | None = None
 
 
@@ -137,9 +139,11 @@
         names: names_lib.HeaderNames,
         view: target_selection.TargetView,
         pool: exchange_lib.Pool,
-        idle: Callable[[], None],
-        freed: Callable[[], None],
-        heard_limit: Callable[[registry_lib.Registration, str | None], None],
+        model_idle: Callable[[], None],
+        slot_freed: Callable[[], None],
+        rate_limit_reported: Callable[
+            [registry_lib.Registration, str | None], None
+        ],
     ) -> None:
         """Initializes the sender; opens no connection.
 
@@ -147,23 +151,23 @@
             names: Header names.
             view: This host's view of the targets; records every attempt.
             pool: Connections to targets.
-            idle: Called when the last run of a model that is to be unloaded
-                has ended.
-            freed: Called when a slot on a target may be free.
-            heard_limit: Called for each answer of a target with the text of
-                its rate limit header; None without the header.
+            model_idle: Called when the last run of a model that is to be
+                unloaded has ended.
+            slot_freed: Called when a slot on a target may be free.
+            rate_limit_reported: Called for each answer of a target with the
+                text of its rate limit header; None without the header.
         """
         self._names = names
         self._view = view
         self._pool = pool
-        self._idle = idle
-        self._freed = freed
-        self._heard_limit = heard_limit
+        self._model_idle = model_idle
+        self._slot_freed = slot_freed
+        self._rate_limit_reported = rate_limit_reported
 
     async def send(
         self,
         call: call_lib.Call,
-        work: admission.Work,
+        work: admission.AdmittedRequest,
         progress: Progress,
         picked: target_selection.Selected,
     ) -> Result:
@@ -172,8 +176,8 @@
         view = self._view
         progress.target = registration.name
         progress.stage = "target"
-        progress.sends += 1
-        progress.waited = progress.waited or clock.now()
+        progress.request_attempts += 1
+        progress.first_sent_at = progress.first_sent_at or clock.now()
         exchange = exchange_lib.Exchange(
             pool=self._pool, url=f"http://{registration.address}/"
         )
@@ -195,13 +199,13 @@
             if view.record_result(
                 registration.name, requirements, clock.now(), failed=failed
             ):
-                self._idle()
-            self._freed()
+                self._model_idle()
+            self._slot_freed()
 
     async def _exchange_with_target(
         self,
         call: call_lib.Call,
-        work: admission.Work,
+        work: admission.AdmittedRequest,
         progress: Progress,
         exchange: exchange_lib.Exchange,
         registration: registry_lib.Registration,
@@ -239,7 +243,7 @@
 
     def _report_rate_limit(
         self,
-        work: admission.Work,
+        work: admission.AdmittedRequest,
         registration: registry_lib.Registration,
         head: exchange_lib.Head,
     ) -> None:
@@ -250,7 +254,7 @@
         # A refusal with status 421 may come from another target that now has
         # this address, so it does not end a limit.
         if limit_text is not None or head.status != 421:
-            self._heard_limit(registration, limit_text)
+            self._rate_limit_reported(registration, limit_text)
 
     def _record_start(self, progress: Progress) -> None:
         """Records once per attempt that its prompt has been processed."""
@@ -259,10 +263,12 @@
             progress.starting = None
 
     def _attempt_deadline(
-        self, work: admission.Work, progress: Progress
+        self, work: admission.AdmittedRequest, progress: Progress
     ) -> float:
         """Returns the deadline of one attempt."""
-        has_further_attempts = len(progress.tried) + 1 < work.route.max_attempts
+        has_further_attempts = (
+            len(progress.attempted_targets) + 1 < work.route.max_attempts
+        )
         if (
             work.route.kind == document_lib.Kind.IDEMPOTENT
             and has_further_attempts
@@ -276,7 +282,7 @@
     def _request_headers(
         self,
         call: call_lib.Call,
-        work: admission.Work,
+        work: admission.AdmittedRequest,
         progress: Progress,
         target: str,
     ) -> httputil.HTTPHeaders:
@@ -313,7 +319,7 @@
     async def _relay_answer(
         self,
         call: call_lib.Call,
-        work: admission.Work,
+        work: admission.AdmittedRequest,
         progress: Progress,
         exchange: exchange_lib.Exchange,
         head: exchange_lib.Head,
@@ -331,7 +337,7 @@
                 missing = _model_or_adapter(work)
             return Refused(head.status, missing)
         progress.may_have_run = True
-        if call.begun and head.status >= 300:
+        if call.head_sent and head.status >= 300:
             # This attempt resumes a stream; an error answer is no part of it.
             return BrokenAttempt(True, f"target_{head.status}")
         if work.route.kind == document_lib.Kind.STREAM and head.status < 300:
@@ -343,7 +349,7 @@
     async def _relay_buffered(
         self,
         call: call_lib.Call,
-        work: admission.Work,
+        work: admission.AdmittedRequest,
         progress: Progress,
         exchange: exchange_lib.Exchange,
         head: exchange_lib.Head,
@@ -352,18 +358,18 @@
         parts: list[bytes] = []
         size = 0
         async for chunk in exchange.chunks(silence=work.route.timeout):
-            progress.first = progress.first or clock.now()
+            progress.first_byte_at = progress.first_byte_at or clock.now()
             self._view.record_bytes(progress.target, clock.now())
             size += len(chunk)
-            if call.begun:
+            if call.head_sent:
                 await call.write(chunk)
                 continue
             parts.append(chunk)
             if size > _MAX_BUFFERED_ANSWER_BYTES:
                 headers = _end_to_end_headers(head.headers)
                 progress.status = head.status
-                await call.begin(head.status, headers, b"".join(parts))
-        if call.begun:
+                await call.send_head(head.status, headers, b"".join(parts))
+        if call.head_sent:
             call.finish()
             return Passed(head.status)
         answer = Answer(head.status, head.headers, b"".join(parts))
@@ -382,23 +388,23 @@
         ):
             headers["Content-Length"] = str(len(answer.body))
         progress.status = answer.status
-        await call.begin(answer.status, headers, answer.body)
+        await call.send_head(answer.status, headers, answer.body)
         call.finish()
 
     async def _relay_stream(
         self,
         call: call_lib.Call,
-        work: admission.Work,
+        work: admission.AdmittedRequest,
         progress: Progress,
         exchange: exchange_lib.Exchange,
         head: exchange_lib.Head,
     ) -> Result:
         """Relays events as they arrive."""
-        splitter = sse.Cutter()
+        splitter = sse.EventSplitter()
         previous = math.inf
         async for chunk in exchange.chunks(silence=work.route.timeout):
             now = clock.now()
-            progress.gap = max(progress.gap, now - previous)
+            progress.longest_gap = max(progress.longest_gap, now - previous)
             previous = now
             self._view.record_bytes(progress.target, now)
             self._record_start(progress)
@@ -410,16 +416,18 @@
                     progress.last_event = event.id or progress.last_event
             if not chunk:
                 continue
-            progress.last = clock.now()
-            progress.first = progress.first or progress.last
-            if not call.begun:
+            progress.last_relayed_at = clock.now()
+            progress.first_byte_at = (
+                progress.first_byte_at or progress.last_relayed_at
+            )
+            if not call.head_sent:
                 headers = _end_to_end_headers(head.headers)
                 progress.status = head.status
-                await call.begin(head.status, headers, chunk)
+                await call.send_head(head.status, headers, chunk)
             else:
                 await call.write(chunk)
-        if not call.begun:
-            await call.begin(head.status, _end_to_end_headers(head.headers))
+        if not call.head_sent:
+            await call.send_head(head.status, _end_to_end_headers(head.headers))
         if splitter.rest:
             await call.write(splitter.rest)
         call.finish()
@@ -427,7 +435,10 @@
 
 
 def target_requirements(
-    work: admission.Work, progress: Progress, *, can_wait: bool = False
+    work: admission.AdmittedRequest,
+    progress: Progress,
+    *,
+    can_wait: bool = False,
 ) -> target_selection.TargetRequirements:
     """Returns a request's requirements of a target.
 
@@ -442,7 +453,7 @@
         model=work.model if on_engine else "",
         adapter=work.adapter if on_engine else "",
         session=work.session,
-        tried=tuple(progress.tried),
+        tried=tuple(progress.attempted_targets),
         rank=priority(work),
         can_wait=can_wait,
     )
@@ -453,13 +464,13 @@
     match result:
         case BrokenAttempt(answer=answer):
             return answer is None
-        case Refused(status=status, what=what):
+        case Refused(status=status, missing_model=what):
             # Another target now has this address.
             return status == 421 and not what
     return False
 
 
-def priority(work: admission.Work) -> int:
+def priority(work: admission.AdmittedRequest) -> int:
     """Returns a rank of 0 to 9: the team's, or the route's if it has none."""
     rank = work.route.priority
     if work.team is not None and work.team.priority is not None:
@@ -467,7 +478,7 @@
     return min(9, max(0, rank))
 
 
-def _model_or_adapter(work: admission.Work) -> str:
+def _model_or_adapter(work: admission.AdmittedRequest) -> str:
     """Returns the model, or MODEL/ADAPTER, that a request needs."""
     return f"{work.model}/{work.adapter}" if work.adapter else work.model
 
--- a/packages/endivestream/src/endivestream/request/service_calls.py
+++ b/packages/endivestream/src/endivestream/request/service_calls.py
@@ -196,10 +196,12 @@
 
     async def _send(self, *, repeatable: bool) -> Answer | findings.Failure:
         while True:
-            ticket = await self._attempts.place(begun=self._sent)
+            ticket = await self._attempts.acquire_ticket(
+                may_have_started=self._sent
+            )
             if isinstance(ticket, findings.Failure):
                 return (
-                    self._target_failure(self._attempts.why)
+                    self._target_failure(self._attempts.failure_cause)
                     if self._sent
                     else ticket
                 )
@@ -222,7 +224,7 @@
             result = await self._run_attempt(self._attempts.name, ticket)
             return result
         finally:
-            self._attempts.give_back(
+            self._attempts.release_ticket(
                 used=0,
                 failed=isinstance(result, exchange_lib.ExchangeError),
                 answered=isinstance(result, Answer),
--- a/packages/endivestream/src/endivestream/request/sse.py
+++ b/packages/endivestream/src/endivestream/request/sse.py
@@ -6,7 +6,7 @@
 
 # Maximum size of an event. An event has one token or a final summary, so a
 # larger one is a fault.
-LONGEST_EVENT_BYTES = 1024 * 1024
+MAX_EVENT_BYTES = 1024 * 1024
 
 DONE = b"[DONE]"
 
@@ -24,7 +24,7 @@
 
 
 class TooLongError(Exception):
-    """An event is longer than `LONGEST_EVENT_BYTES`."""
+    """An event is longer than `MAX_EVENT_BYTES`."""
 
 
 class Splitter:
@@ -37,13 +37,13 @@
         """Adds a chunk and returns the events that it completes.
 
         Raises:
-            TooLongError: An incomplete event exceeds `LONGEST_EVENT_BYTES`.
+            TooLongError: An incomplete event exceeds `MAX_EVENT_BYTES`.
         """
         buffer = self._incomplete + chunk
         if b"\r" in buffer:
             buffer = buffer.replace(b"\r\n", b"\n")
         *blocks, self._incomplete = buffer.split(b"\n\n")
-        if len(self._incomplete) > LONGEST_EVENT_BYTES:
+        if len(self._incomplete) > MAX_EVENT_BYTES:
             raise TooLongError(
                 f"{len(self._incomplete)} bytes without an event end"
             )
@@ -78,7 +78,7 @@
     raw: bytes
 
 
-class Cutter:
+class EventSplitter:
     """Splits a byte stream into complete events without changing any byte.
 
     If a target fails in the middle of an event, the incomplete event must not
@@ -97,10 +97,10 @@
         """Adds a chunk and returns the events that it completes.
 
         Raises:
-            TooLongError: An incomplete event exceeds `LONGEST_EVENT_BYTES`.
+            TooLongError: An incomplete event exceeds `MAX_EVENT_BYTES`.
         """
         *blocks, self._incomplete = (self._incomplete + chunk).split(b"\n\n")
-        if len(self._incomplete) > LONGEST_EVENT_BYTES:
+        if len(self._incomplete) > MAX_EVENT_BYTES:
             raise TooLongError(
                 f"{len(self._incomplete)} bytes without an event end"
             )
--- a/tests/leader_site.py
+++ b/tests/leader_site.py
@@ -21,7 +21,7 @@
 from endivestream.process import entry_credit
 from endivestream.process import site_leading
 from endivestream.process import site_settings
-from endivestream.request import allowance as allowance_lib
+from endivestream.request import credit_shares as credit_shares_lib
 from endivestream.version import document as document_lib
 from endivestream.version import members as members_lib
 from endivestream.version import state as state_lib
@@ -162,7 +162,9 @@
         self.lease_until = 0.0
         self.is_cut_off = False
         self.credit = entry_credit.EntryCredit(
-            allowance=allowance_lib.Allowance(), watch=self, host=self.name
+            credit_shares=credit_shares_lib.CreditShares(),
+            watch=self,
+            host=self.name,
         )
         self._site = site
         self._answers = {}
@@ -381,7 +383,7 @@
     async def request_credit(self, host):
         """Requests credit for a request that exceeds its host's balance."""
         team = document_lib.Team(name="band", keys=("k",), rate=9e9, burst=9e9)
-        await host.credit.take(team, 1.0, soon=0.5, patience=0.5)
+        await host.credit.take(team, 1.0, timely_within=0.5, patience=0.5)
 
     async def request_send(self, host, target, rate):
         """Requests a send to a target with a rate limit."""
--- a/tests/placement_site.py
+++ b/tests/placement_site.py
@@ -2,8 +2,8 @@
 
 Engines load one model at a time, from the weight store in seconds or from their
 own disk in less; an unload waits for the model's running requests. Callers
-arrive at one entry host, wait as long as `request.patience` allows, and retry
-once after the Retry-After that they receive.
+arrive at one entry host, wait as long as `request.queue_deadlines` allows, and
+retry once after the Retry-After that they receive.
 """
 
 import asyncio
@@ -19,7 +19,7 @@
 from endivestream.process import planner as planner_lib
 from endivestream.process import site_settings
 from endivestream.request import demand as demand_lib
-from endivestream.request import patience as patience_lib
+from endivestream.request import queue_deadlines
 from endivestream.request import unserved as unserved_lib
 from endivestream.version import document as document_lib
 
@@ -389,10 +389,10 @@
         arrived_at = clock.now()
         key = (SERVICE, model, adapter)
         self._meters.count(key, arrived_at)
-        deadline = patience_lib.until_place(
+        deadline = queue_deadlines.target_wait_deadline(
             route=ROUTE,
-            came=arrived_at,
-            heard=0.0,
+            arrived_at=arrived_at,
+            last_sent_at=0.0,
             deadline=arrived_at + ROUTE.timeout,
         )
         is_waiting = False
@@ -409,7 +409,7 @@
                         "no_adapter" if self._find_engine(model) else "no_model"
                     )
                     self.reasons[reason] += 1
-                    return patience_lib.come_back(
+                    return queue_deadlines.retry_after_seconds(
                         expected=expected, now=now, usual=RETRY_AFTER_SECONDS
                     )
                 if not is_waiting:
--- a/tests/test_buckets.py
+++ b/tests/test_buckets.py
@@ -14,7 +14,7 @@
         self.bucket = buckets.Bucket(rate=RATE, burst=BURST, now=0)
 
     def _charge(self, name, tokens, *, now=0, deadline=100 * SECOND):
-        """Charges; commits a share and admits if the credit is available."""
+        """Charges; commits a reserve and admits if the credit is available."""
         charge = buckets.Charge(name, tokens)
         answer = self.bucket.charge(charge, now=now, deadline=deadline)
         if answer == buckets.Wait(seconds=0.0):
@@ -25,9 +25,9 @@
         return answer
 
     def _commit(self, now):
-        portion = self.bucket.propose_portion(now)
-        if portion is not None:
-            self.bucket.confirm_portion(portion)
+        reserved = self.bucket.propose_reserve(now)
+        if reserved is not None:
+            self.bucket.confirm_reserve(reserved)
 
     def test_charge_waits_if_the_refill_meets_the_deadline(self):
         self.assertEqual(self._charge("a", BURST), buckets.Admitted())
@@ -43,9 +43,9 @@
         answer = self.bucket.charge(charge, now=0, deadline=SECOND)
         self.assertEqual(answer, buckets.Wait(seconds=0.0))
         self.assertEqual(self.bucket.ready(0), [])
-        portion = self.bucket.propose_portion(0)
+        reserved = self.bucket.propose_reserve(0)
         self.assertEqual(self.bucket.ready(0), [])
-        self.bucket.drop_portion(portion)
+        self.bucket.drop_reserve(reserved)
         self.assertEqual(self.bucket.ready(0), [])
         self._commit(0)
         self.assertEqual(self.bucket.ready(0), [charge])
@@ -77,20 +77,20 @@
         self.bucket.settle("a", used=0, now=8 * SECOND)
         self.assertEqual(self.bucket.level(8 * SECOND), BURST)
 
-    def test_refund_does_not_raise_a_share_above_its_size(self):
+    def test_refund_does_not_raise_a_reserve_above_its_size(self):
         """Guards against granting the same credit twice after a failover.
 
-        A charge from before the share is refunded and the bucket fills. If
-        the owner spent more than the size of the share and failed, the next
+        A charge from before the reserve is refunded and the bucket fills. If
+        the owner spent more than the size of the reserve and failed, the next
         owner would grant the rest as well.
         """
         self._charge("a", 100)
         self._charge("b", 350)
-        share = self.bucket.propose_portion(0)
-        self.assertIsNotNone(share)
-        self.bucket.confirm_portion(share)
+        reserved = self.bucket.propose_reserve(0)
+        self.assertIsNotNone(reserved)
+        self.bucket.confirm_reserve(reserved)
         self.bucket.settle("a", used=0, now=0)
-        self.assertEqual(self.bucket.portion, share.size / SECOND)
+        self.assertEqual(self.bucket.reserve, reserved.size / SECOND)
 
     def test_empty_bucket_does_not_commit_every_token(self):
         """Guards against frequent commits for a team that exceeds its rate."""
@@ -100,21 +100,21 @@
         )
         commits = 0
         for millis in range(0, 2000, 5):
-            portion = self.bucket.propose_portion(millis * 1000)
-            if portion is not None:
-                self.bucket.confirm_portion(portion)
+            reserved = self.bucket.propose_reserve(millis * 1000)
+            if reserved is not None:
+                self.bucket.confirm_reserve(reserved)
                 commits += 1
         self.assertLessEqual(commits, 8)
 
-    def test_changed_burst_needs_a_new_share(self):
-        """Guards against shares of the old and new burst that add up."""
+    def test_changed_burst_needs_a_new_reserve(self):
+        """Guards against reserves of the old and new burst that add up."""
         self._charge("a", 10)
-        self.assertGreater(self.bucket.portion, 0)
-        pending = self.bucket.propose_portion(0)
+        self.assertGreater(self.bucket.reserve, 0)
+        pending = self.bucket.propose_reserve(0)
         self.bucket.change(rate=RATE, burst=500, now=0)
         if pending is not None:
-            self.bucket.confirm_portion(pending)
-        self.assertEqual(self.bucket.portion, 0)
+            self.bucket.confirm_reserve(pending)
+        self.assertEqual(self.bucket.reserve, 0)
 
     def test_lower_burst_drops_charges_above_it(self):
         self._charge("a", BURST)
@@ -183,7 +183,7 @@
         for charge in self.bucket.ready(self.now):
             self._admit(charge.request, self.waiting.pop(charge.request))
         if self.proposed is None:
-            self.proposed = self.bucket.propose_portion(self.now)
+            self.proposed = self.bucket.propose_reserve(self.now)
         assert self.bucket.waiting == len(self.waiting)
         assert self.bucket.open == len(self.open)
 
@@ -207,7 +207,7 @@
                 assert tokens > BURST
 
     def _charge_all(self):
-        """Takes all available credit while shares are committed."""
+        """Takes all available credit while reserves are committed."""
         for _ in range(60):
             self.charges += 1
             charge = buckets.Charge(str(self.charges), 25)
@@ -217,7 +217,7 @@
             elif isinstance(answer, buckets.Wait):
                 self.bucket.cancel(charge.request)
             if self.proposed is None:
-                self.proposed = self.bucket.propose_portion(self.now)
+                self.proposed = self.bucket.propose_reserve(self.now)
             if self.rng.random() < 0.2:
                 self._commit_or_drop()
 
@@ -229,14 +229,14 @@
         self.events.append((self.now, -refund))
 
     def _commit_or_drop(self):
-        """Commits or drops the proposed share."""
+        """Commits or drops the proposed reserve."""
         if self.proposed is None:
             return
         if self.rng.random() < 0.9:
             self.committed = (self.proposed, self.now)
-            self.bucket.confirm_portion(self.proposed)
+            self.bucket.confirm_reserve(self.proposed)
         else:
-            self.bucket.drop_portion(self.proposed)
+            self.bucket.drop_reserve(self.proposed)
         self.proposed = None
 
     def _fail_over(self):
@@ -249,9 +249,11 @@
             self.committed = (self.proposed, self.now)
         level = 0
         if self.committed is not None:
-            portion, committed_at = self.committed
-            refilled = portion.rest + RATE * (self.now - committed_at)
-            level = min(refilled, portion.most)
+            reserved, committed_at = self.committed
+            refilled = reserved.level_without_reserve + RATE * (
+                self.now - committed_at
+            )
+            level = min(refilled, reserved.max_level)
         self.bucket = buckets.Bucket(
             rate=RATE, burst=BURST, now=self.now, level=level
         )
@@ -276,7 +278,7 @@
         """Guards against granting more than rate and burst after a failover.
 
         Charges, repeated charges, late and duplicate settlements,
-        cancellations, shares that are committed, late or lost, and failures
+        cancellations, reserves that are committed, late or lost, and failures
         of the owner occur in any order. In every time window the admitted
         minus the refunded credit is at most burst + rate x window.
         """
--- a/tests/test_credit_portions.py
+++ b/tests/test_credit_portions.py
@@ -4,7 +4,7 @@
 
 from endivestream import site_messages
 from endivestream.process import credit_allocator as credit_allocator_lib
-from endivestream.request import allowance as allowance_lib
+from endivestream.request import credit_shares as credit_shares_lib
 from endivestream.request import repeats
 from endivestream.version import document as document_lib
 import hypothesis
@@ -30,7 +30,9 @@
         self.now = 100.0
         self.allocator = credit_allocator_lib.CreditAllocator()
         self.allocator.set_teams((team(),), self.now, full=True)
-        self.hosts = {f"h{n}": allowance_lib.Allowance() for n in range(hosts)}
+        self.hosts = {
+            f"h{n}": credit_shares_lib.CreditShares() for n in range(hosts)
+        }
         self.cut_off_hosts = set()
         # Teams in the last report of each host to the leader.
         self.reported_teams = {}
@@ -43,8 +45,8 @@
         self.reported_teams = {}
 
     def renew(self, host, *, lost=False):
-        allowance = self.hosts[host]
-        needs = allowance.needs(self.now)
+        credit_shares = self.hosts[host]
+        needs = credit_shares.needs(self.now)
         if host in self.cut_off_hosts or self.allocator is None:
             return
         reported = {need.team for need in needs}
@@ -55,21 +57,23 @@
         grants = [self.allocator.report(host, need, self.now) for need in needs]
         if lost:
             return
-        allowance.heard_leader(self.now)
+        credit_shares.record_answer(self.now)
         for grant in grants:
-            allowance.take(grant, self.now)
+            credit_shares.apply_grant(grant, self.now)
 
     def request(self, host, cost=COST):
-        allowance = self.hosts[host]
-        allowance.ask("band", cost)
-        if allowance.spend("band", cost, self.now):
+        credit_shares = self.hosts[host]
+        credit_shares.record_demand("band", cost)
+        if credit_shares.spend("band", cost, self.now):
             self.spending.append((self.now, cost))
             return
         if host not in self.cut_off_hosts and self.allocator is not None:
-            balance = allowance.balance("band")
+            balance = credit_shares.balance("band")
             need = site_messages.Need("band", 0.0, balance, cost)
-            allowance.take(self.allocator.ask(host, need, self.now), self.now)
-            if allowance.spend("band", cost, self.now):
+            credit_shares.apply_grant(
+                self.allocator.ask(host, need, self.now), self.now
+            )
+            if credit_shares.spend("band", cost, self.now):
                 self.spending.append((self.now, cost))
                 return
         self.refused_requests += 1
@@ -102,10 +106,10 @@
 
     def test_a_team_without_recent_requests_is_not_reported(self):
         """Guards against renewals that contain every team of the site."""
-        allowance = self.site.hosts["h0"]
-        self.assertEqual(len(allowance.needs(self.site.now)), 1)
+        credit_shares = self.site.hosts["h0"]
+        self.assertEqual(len(credit_shares.needs(self.site.now)), 1)
         self._renew(40)
-        self.assertEqual(allowance.needs(self.site.now), ())
+        self.assertEqual(credit_shares.needs(self.site.now), ())
 
     def test_the_credit_of_an_idle_team_is_returned(self):
         """Guards against unused credit that stays on a host."""
@@ -128,11 +132,11 @@
     def test_a_late_grant_does_not_keep_an_idle_team_reported(self):
         """Guards against a grant that arrives after the team was dropped."""
         self._renew(40)
-        allowance = self.site.hosts["h0"]
+        credit_shares = self.site.hosts["h0"]
         grant = site_messages.Grant("band", 10.0, 0.0, 0.0)
-        allowance.take(grant, self.site.now)
+        credit_shares.apply_grant(grant, self.site.now)
         self._renew(40)
-        self.assertEqual(allowance.needs(self.site.now), ())
+        self.assertEqual(credit_shares.needs(self.site.now), ())
 
 
 class ReservationQueueTest(unittest.TestCase):
@@ -145,7 +149,7 @@
         return self.allocator.ask(host, need, now, soon=soon, patience=patience)
 
     def report(self, demand, now=0.0):
-        wanted = demand * allowance_lib.AHEAD_SECONDS
+        wanted = demand * credit_shares_lib.CREDIT_AHEAD_SECONDS
         need = site_messages.Need("band", 0.0, 0.0, wanted)
         self.allocator.report("h1", need, now)
 
@@ -281,7 +285,7 @@
                 leader_changes += 1
             if event == "host":
                 name = data.draw(st.sampled_from(sorted(site.hosts)))
-                site.hosts[name] = allowance_lib.Allowance()
+                site.hosts[name] = credit_shares_lib.CreditShares()
                 site.allocator.forget(name)
             for position, name in enumerate(sorted(site.hosts)):
                 if (tick + position) % RENEW_TICKS == 0:
@@ -426,7 +430,7 @@
         )
         self.assertFalse(budget.spend(1.0))
         for _ in range(20):
-            budget.came(1.0)
+            budget.record_arrival(1.0)
         self.assertTrue(budget.spend(1.0))
 
     def test_one_of_many_hosts_may_exceed_its_equal_share(self):
@@ -495,7 +499,7 @@
             )
             budget.set_hosts(5)
             for tick in range(200):
-                budget.came(10 + tick * 0.05)
+                budget.record_arrival(10 + tick * 0.05)
                 granted += budget.spend(10 + tick * 0.05)
                 granted += budget.spend(10 + tick * 0.05)
         self.assertLessEqual(granted, 0.2 * 1000 + 50)
--- a/tests/test_entry_credit.py
+++ b/tests/test_entry_credit.py
@@ -3,7 +3,7 @@
 
 from endivestream import site_messages
 from endivestream.process import entry_credit
-from endivestream.request import allowance as allowance_lib
+from endivestream.request import credit_shares as credit_shares_lib
 from endivestream.version import document as document_lib
 
 TEAM = document_lib.Team(
@@ -37,9 +37,13 @@
 class CreditTest(unittest.IsolatedAsyncioTestCase):
     async def _take(self, watch, patience):
         credit = entry_credit.EntryCredit(
-            allowance=allowance_lib.Allowance(), watch=watch, host="e1"
+            credit_shares=credit_shares_lib.CreditShares(),
+            watch=watch,
+            host="e1",
+        )
+        return await credit.take(
+            TEAM, 100.0, timely_within=patience, patience=patience
         )
-        return await credit.take(TEAM, 100.0, soon=patience, patience=patience)
 
     async def test_lost_answer_does_not_refuse_request(self):
         """Guards against refusals of a team within its rate by packet loss.
@@ -65,11 +69,13 @@
         watch = FakeWatch(lost=0)
         watch.answer_seconds = 0.01
         credit = entry_credit.EntryCredit(
-            allowance=allowance_lib.Allowance(), watch=watch, host="e1"
+            credit_shares=credit_shares_lib.CreditShares(),
+            watch=watch,
+            host="e1",
         )
         results = await asyncio.gather(
             *(
-                credit.take(TEAM, 10.0, soon=9.0, patience=9.0)
+                credit.take(TEAM, 10.0, timely_within=9.0, patience=9.0)
                 for _ in range(60)
             )
         )
@@ -86,17 +92,17 @@
         """
         watch = FakeWatch(lost=0)
         watch.answer_seconds = 0.01
-        allowance = allowance_lib.Allowance()
+        credit_shares = credit_shares_lib.CreditShares()
         credit = entry_credit.EntryCredit(
-            allowance=allowance, watch=watch, host="e1"
+            credit_shares=credit_shares, watch=watch, host="e1"
         )
         task = asyncio.create_task(
-            credit.take(TEAM, 100.0, soon=9.0, patience=9.0)
+            credit.take(TEAM, 100.0, timely_within=9.0, patience=9.0)
         )
         while not watch.batch_sizes:
             await asyncio.sleep(0)
         task.cancel()
         async with asyncio.timeout(10.0):
-            while not allowance.balance("band"):
+            while not credit_shares.balance("band"):
                 await asyncio.sleep(0.001)
-        self.assertEqual(allowance.balance("band"), 100.0)
+        self.assertEqual(credit_shares.balance("band"), 100.0)
--- a/tests/test_forward.py
+++ b/tests/test_forward.py
@@ -43,7 +43,7 @@
         self.taken = []
         self.refunded = []
 
-    async def take(self, team, cost, *, soon, patience):
+    async def take(self, team, cost, *, timely_within, patience):
         if self.short is None:
             self.taken.append(cost)
         return self.short
@@ -83,34 +83,38 @@
             ratio=1.0, window=10.0, slack=100.0, now=clock.now() - 60.0
         )
         self.table = None
-        rules = admission.Rules(
+        rules = admission.AdmissionInputs(
             names=names_lib.HeaderNames(),
             table=lambda: self.table,
             lease_until=lambda: self.lease,
             share=lambda: 1.0,
-            takes=lambda kind: kind not in self.refused_kinds,
+            can_finish=lambda kind: kind not in self.refused_kinds,
         )
-        parts = forward_parts.Parts(
+        parts = forward_parts.SharedParts(
             rules=rules,
             view=self.view,
             pool=self.pool,
             credit=self.credit,
             repeats=lambda service: self.repeats,
-            ask_repeat=self._ask_repeat,
-            missing=self._missing,
-            changed=self._changed,
-            confirm=self._confirm,
-            asked=lambda work: None,
-            found=lambda work: None,
-            idle=lambda: None,
-            freed=lambda: None,
-            permit=self._permit,
-            heard_limit=lambda registration, text: self.limits.append(text),
-            turn=self._turn,
-            observe=self.ended.append,
+            request_repeat=self._ask_repeat,
+            report_missing=self._missing,
+            wait_for_change=self._changed,
+            confirm_configuration=self._confirm,
+            request_received=lambda work: None,
+            target_assigned=lambda work: None,
+            model_idle=lambda: None,
+            slot_freed=lambda: None,
+            acquire_send=self._permit,
+            rate_limit_reported=lambda registration, text: self.limits.append(
+                text
+            ),
+            prefill_delay=self._turn,
+            record_metrics=self.ended.append,
         )
         self.forwarder = forward_lib.Forwarder(parts=parts)
-        front = call_lib.Front(serve=self.forwarder.serve, now=clock.now)
+        front = call_lib.RequestServer(
+            serve=self.forwarder.serve, now=clock.now
+        )
         self.server = httpserver.HTTPServer(front)
         sockets = netutil.bind_sockets(0, "127.0.0.1")
         self.server.add_sockets(sockets)
@@ -247,7 +251,9 @@
         self.turn_seconds = 60.0
         self.caller.send(X_Deadline_Ms=60_000, X_Tokens="1000,10", X_Model="a")
         with mock.patch.object(
-            forward_lib.patience_lib, "until_turn", lambda **fields: math.inf
+            forward_lib.queue_deadlines,
+            "turn_wait_deadline",
+            lambda **fields: math.inf,
         ):
             while self._current_stages() != ["turn"]:
                 await asyncio.sleep(0.001)
@@ -307,7 +313,7 @@
         await self._start_target(begins)
         self.caller.send(X_Deadline_Ms=60_000)
         while not self.forwarder._active or not any(
-            each.call.begun for each in self.forwarder._active.values()
+            each.call.head_sent for each in self.forwarder._active.values()
         ):
             await asyncio.sleep(0.001)
         self.forwarder.stop_all()
@@ -466,7 +472,7 @@
     ):
         """Guards against memory filled by callers during a long outage."""
         self.lease = -math.inf
-        with mock.patch.object(lease_queue, "_MOST_REQUESTS", 0):
+        with mock.patch.object(lease_queue, "_MAX_REQUESTS", 0):
             reply = await self.caller.ask(X_Deadline_Ms=60_000)
         self.assertEqual(reply.status, 503)
         self.assertEqual(self.waited, 0)
--- a/tests/test_patience.py
+++ b/tests/test_queue_deadlines.py
@@ -3,7 +3,7 @@
 import math
 import unittest
 
-from endivestream.request import patience
+from endivestream.request import queue_deadlines
 from endivestream.version import document as document_lib
 import hypothesis
 from hypothesis import strategies as st
@@ -25,25 +25,28 @@
     def test_turn_wait_ends_by_the_deadline(self, came, elapsed, allowed):
         """Guards against sending a prompt after its request's deadline."""
         for route in (CHAT, ORDER):
-            until = patience.until_turn(
+            until = queue_deadlines.turn_wait_deadline(
                 route=route,
-                came=came,
+                arrived_at=came,
                 now=came + elapsed,
                 deadline=came + allowed,
             )
             self.assertLessEqual(until, came + allowed)
 
     def test_turn_wait_ends_before_the_objective(self):
-        until = patience.until_turn(
-            route=CHAT, came=100.0, now=100.1, deadline=112.0
+        until = queue_deadlines.turn_wait_deadline(
+            route=CHAT, arrived_at=100.0, now=100.1, deadline=112.0
         )
         self.assertLess(until, 100.0 + CHAT.objective)
 
 
 class PlaceTest(unittest.TestCase):
     def _until_place(self, route, deadline, heard=0.0, came=100.0):
-        return patience.until_place(
-            route=route, came=came, heard=heard, deadline=came + deadline
+        return queue_deadlines.target_wait_deadline(
+            route=route,
+            arrived_at=came,
+            last_sent_at=heard,
+            deadline=came + deadline,
         )
 
     def test_stream_is_refused_before_its_caller_disconnects(self):
@@ -73,8 +76,11 @@
     @hypothesis.given(TIMES, TIMES, TIMES)
     def test_wait_ends_by_the_deadline(self, came, heard, allowed):
         for route in (CHAT, ORDER):
-            until = patience.until_place(
-                route=route, came=came, heard=heard, deadline=came + allowed
+            until = queue_deadlines.target_wait_deadline(
+                route=route,
+                arrived_at=came,
+                last_sent_at=heard,
+                deadline=came + allowed,
             )
             self.assertLessEqual(until, came + allowed + 1e-6)
 
@@ -87,35 +93,49 @@
         started. Callers refused immediately would retry within the same
         second and give up.
         """
-        until = patience.until_lease(came=100.0, deadline=112.0, fresh=True)
+        until = queue_deadlines.lease_wait_deadline(
+            arrived_at=100.0, deadline=112.0, fresh=True
+        )
         self.assertGreater(until, 101.2)
         self.assertLess(until, 102.0)
 
     def test_host_with_expired_lease_refuses_soon(self):
-        until = patience.until_lease(came=100.0, deadline=112.0, fresh=False)
+        until = queue_deadlines.lease_wait_deadline(
+            arrived_at=100.0, deadline=112.0, fresh=False
+        )
         self.assertLessEqual(until, 100.25)
 
     def test_short_requests_keep_time_for_another_host(self):
-        until = patience.until_lease(came=100.0, deadline=100.6, fresh=True)
+        until = queue_deadlines.lease_wait_deadline(
+            arrived_at=100.0, deadline=100.6, fresh=True
+        )
         self.assertAlmostEqual(100.3, until)
 
     def test_infinite_deadline_does_not_wait_forever(self):
-        until = patience.until_lease(came=0.0, deadline=math.inf, fresh=True)
+        until = queue_deadlines.lease_wait_deadline(
+            arrived_at=0.0, deadline=math.inf, fresh=True
+        )
         self.assertLess(until, 2.0)
 
 
-class ComeBackTest(unittest.TestCase):
+class RetryAfterTest(unittest.TestCase):
     def test_retry_time_is_the_end_of_the_model_load(self):
-        seconds = patience.come_back(expected=105.8, now=102.0, usual=0.5)
+        seconds = queue_deadlines.retry_after_seconds(
+            expected=105.8, now=102.0, usual=0.5
+        )
         self.assertAlmostEqual(3.8, seconds)
 
     def test_overdue_load_gives_a_positive_retry_time(self):
-        seconds = patience.come_back(expected=102.0, now=102.0, usual=0.5)
+        seconds = queue_deadlines.retry_after_seconds(
+            expected=102.0, now=102.0, usual=0.5
+        )
         self.assertGreater(seconds, 0.0)
 
     def test_unknown_load_end_gives_the_usual_retry_time(self):
         for expected in (None, math.inf):
-            seconds = patience.come_back(expected=expected, now=1.0, usual=0.5)
+            seconds = queue_deadlines.retry_after_seconds(
+                expected=expected, now=1.0, usual=0.5
+            )
             self.assertEqual(0.5, seconds)
 
 
--- a/tests/test_site_metrics.py
+++ b/tests/test_site_metrics.py
@@ -18,7 +18,7 @@
         "gap": 0.25,
         "tries": 1,
     } | fields
-    return forward_parts.Ended(**defaults)
+    return forward_parts.RequestSummary(**defaults)
 
 
 class EntryMetricsTest(unittest.TestCase):
--- a/tests/test_soft_state.py
+++ b/tests/test_soft_state.py
@@ -179,16 +179,16 @@
         """Guards against unbounded memory use for an event without end."""
         splitter = sse.Splitter()
         with self.assertRaises(sse.TooLongError):
-            splitter.feed(b"x" * (sse.LONGEST_EVENT_BYTES + 1))
+            splitter.feed(b"x" * (sse.MAX_EVENT_BYTES + 1))
 
 
 class BudgetTest(unittest.TestCase):
     def test_retries_are_a_share_of_requests(self):
         """Guards against retries that multiply the load of a failing target."""
-        budget = retries.Budget(share=0.2)
-        while budget.retry():
+        budget = retries.RetryBudget(share=0.2)
+        while budget.take_retry():
             pass
         for _ in range(100):
-            budget.request()
-        granted = sum(budget.retry() for _ in range(100))
+            budget.count_request()
+        granted = sum(budget.take_retry() for _ in range(100))
         self.assertAlmostEqual(granted, 20, delta=1)
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -4,7 +4,7 @@
 from endivestream import site_messages
 from endivestream.connection import links
 from endivestream.process import turn_desk
-from endivestream.request import patience
+from endivestream.request import queue_deadlines
 from endivestream.request import turns as turns_lib
 from endivestream.version import document as document_lib
 import hypothesis
@@ -83,9 +83,9 @@
         sent = []
         for _ in range(12):
             arrived_at = loaded_at - rng.uniform(0.5, 1.5)
-            latest_turn = patience.until_turn(
+            latest_turn = queue_deadlines.turn_wait_deadline(
                 route=route,
-                came=arrived_at,
+                arrived_at=arrived_at,
                 now=loaded_at,
                 deadline=arrived_at + 12.0,
             )
