--- a/packages/endivestream/src/endivestream/process/handlers.py
+++ b/packages/endivestream/src/endivestream/process/handlers.py
@@ -67,7 +67,7 @@
 
     gateway: gateway_lib.Gateway
     pool: exchange_lib.Pool
-    budget: retries.Budget
+    budget: retries.RetryBudget
     rng: random.Random
 
 
@@ -138,7 +138,7 @@
                 "send your key as 'Authorization: Bearer KEY'",
                 status=401,
             )
-        key = self.gateway.view.key(presented)
+        key = self.gateway.view.find_key(presented)
         if key is None:
             return findings.not_run(
                 "key_unknown", "this key is not valid", status=401
@@ -261,7 +261,7 @@
                 messages.Ending(request=request, team=team, used=cost)
             )
 
-    def attempts(self, work: attempts_lib.Work) -> attempts_lib.Attempts:
+    def attempts(self, work: attempts_lib.AttemptWork) -> attempts_lib.Attempts:
         """Creates the attempts of a request."""
         return attempts_lib.Attempts(
             gateway=self.gateway,
--- a/packages/endivestream/src/endivestream/process/planner.py
+++ b/packages/endivestream/src/endivestream/process/planner.py
@@ -100,7 +100,7 @@
         self._on_sent = sent
         # Rate limits named by targets, in requests per second.
         self._rate_limits: dict[str, float] = {}
-        self._services: dict[str, document_lib.Engine] = {}
+        self._services: dict[str, document_lib.EngineCapacity] = {}
         self._workers: dict[str, worker_lib.EngineWorker] = {}
         self._silent_targets: set[str] = set()
         self._is_table_complete = False
@@ -319,9 +319,9 @@
                 self._servable_keys(service, workers.values()), now
             )
             planned = plan_lib.plan(
-                engine=engine,
-                places=[self._describe_engine(w) for w in workers.values()],
-                wants=self._demand.wants(service, now),
+                capacity=engine,
+                engines=[self._describe_engine(w) for w in workers.values()],
+                demands=self._demand.demands(service, now),
                 store_loads=self._allowed_store_loads(engine, now),
                 complete=self._is_table_complete,
             )
@@ -378,13 +378,13 @@
 
     def _describe_engine(
         self, worker: worker_lib.EngineWorker
-    ) -> plan_types.Place:
+    ) -> plan_types.EngineState:
         name = worker.registration.name
-        return plan_types.Place(
+        return plan_types.EngineState(
             target=name,
             domain=worker.registration.domain,
             loaded=tuple(sorted(worker.models - worker.closing)),
-            coming="" if self._is_stuck(worker) else worker.loading,
+            loading="" if self._is_stuck(worker) else worker.loading,
             busy=worker.step is not None or clock.now() < worker.blocked_until,
             usable=not worker.registration.draining
             and name not in self._silent_targets
@@ -392,10 +392,11 @@
             in_memory=worker.registration.in_memory,
             on_disk=worker.registration.on_disk,
             running=self._uses.running(name),
-            is_home=worker.step is not None and worker.step.reason == "home",
+            is_disk_copy_load=worker.step is not None
+            and worker.step.reason == "home",
             is_overdue=worker.step is not None
             and worker.step.reason == "overdue",
-            kept=worker.pinned_models(clock.now()),
+            protected=worker.pinned_models(clock.now()),
             rate_limit=self._rate_limits.get(name),
         )
 
@@ -413,7 +414,7 @@
         )
 
     def _allowed_store_loads(
-        self, engine: document_lib.Engine, now: float
+        self, engine: document_lib.EngineCapacity, now: float
     ) -> int:
         """Returns how many loads from the weight store may start now."""
         window = self._settings.bounds.store_window
@@ -427,7 +428,7 @@
         self,
         worker: worker_lib.EngineWorker,
         step: plan_types.Step,
-        engine: document_lib.Engine,
+        engine: document_lib.EngineCapacity,
     ) -> None:
         logs.event(
             "placement",
@@ -444,7 +445,10 @@
         worker.step = step
         worker.step_started_at = clock.now()
         worker.expected_ready_at = (
-            clock.now() + _CLOSING_DELAY_SECONDS + step.wait + step.seconds
+            clock.now()
+            + _CLOSING_DELAY_SECONDS
+            + step.victim_run_seconds
+            + step.load_seconds
         )
         worker.closing.update(step.victims)
         self._on_changed([step.target])
@@ -456,7 +460,7 @@
         self,
         worker: worker_lib.EngineWorker,
         step: plan_types.Step,
-        engine: document_lib.Engine,
+        engine: document_lib.EngineCapacity,
     ) -> None:
         started_at = clock.now()
         succeeded = False
@@ -484,7 +488,7 @@
         self,
         worker: worker_lib.EngineWorker,
         step: plan_types.Step,
-        engine: document_lib.Engine,
+        engine: document_lib.EngineCapacity,
     ) -> bool:
         if step.victims:
             await asyncio.sleep(_CLOSING_DELAY_SECONDS)
@@ -495,7 +499,7 @@
                 return False
         if not await worker.order(load=True, model=step.model, engine=engine):
             return False
-        worker.expected_ready_at = clock.now() + step.seconds
+        worker.expected_ready_at = clock.now() + step.load_seconds
         self._on_changed([step.target])
         seconds = next(
             (m.load_seconds for m in engine.models if m.name == step.model), 5.0
@@ -510,7 +514,7 @@
         self,
         worker: worker_lib.EngineWorker,
         victim: str,
-        engine: document_lib.Engine,
+        engine: document_lib.EngineCapacity,
     ) -> bool:
         if not await worker.order(load=False, model=victim, engine=engine):
             return False
--- a/packages/endivestream/src/endivestream/request/generation.py
+++ b/packages/endivestream/src/endivestream/request/generation.py
@@ -20,7 +20,7 @@
 
     Attributes:
         model: The requested model or adapter.
-        needs: The model that a target must have loaded.
+        required_model: The model that a target must have loaded.
         chat: Whether the answer is a chat message or plain text.
         stream: Whether the caller requested a stream of events.
         cost: Tokens to charge: prompt plus maximum generated tokens.
@@ -31,7 +31,7 @@
     """
 
     model: str
-    needs: str
+    required_model: str
     chat: bool
     stream: bool
     cost: int
@@ -74,11 +74,11 @@
     model = body.get("model")
     if not isinstance(model, str):
         return _invalid_request("'model' must name a model or adapter")
-    needs = rules.model_of(model)
+    needs = rules.base_model(model)
     if needs is None or model not in rules.allowed.get(team, ()):
         # Models that the team may not use are reported as unknown.
         available = [
-            n for n in rules.allowed.get(team, ()) if rules.model_of(n)
+            n for n in rules.allowed.get(team, ()) if rules.base_model(n)
         ]
         detail = findings.unknown_word("model", model, available)
         return findings.not_run("unknown_model", detail, status=404)
--- a/tests/placement_site.py
+++ b/tests/placement_site.py
@@ -2,8 +2,8 @@
 
 Engines load one model at a time, from the weight store in seconds or from their
 own disk in less; an unload waits for the model's running requests. Callers
-arrive at one entry host, wait as long as `request.patience` allows, and retry
-once after the Retry-After that they receive.
+arrive at one entry host, wait as long as `request.queue_deadlines` allows, and
+retry once after the Retry-After that they receive.
 """
 
 import asyncio
@@ -19,7 +19,7 @@
 from endivestream.process import planner as planner_lib
 from endivestream.process import site_settings
 from endivestream.request import demand as demand_lib
-from endivestream.request import patience as patience_lib
+from endivestream.request import queue_deadlines
 from endivestream.request import unserved as unserved_lib
 from endivestream.version import document as document_lib
 
@@ -38,11 +38,11 @@
     timeout=15.0,
     objective=0.8,
     priority=1,
-    choices=(document_lib.Choice(SERVICE, 1),),
-    attempts=2,
+    services=(document_lib.WeightedService(SERVICE, 1),),
+    max_attempts=2,
     anonymous=True,
     resumable=False,
-    gap=0.3,
+    max_event_gap=0.3,
 )
 
 
@@ -64,7 +64,7 @@
 
 
 def document(*, models, places, adapters=8, loads_per_second=3.0):
-    engine = document_lib.Engine(
+    engine = document_lib.EngineCapacity(
         slots=64,
         cache_tokens=100_000,
         weights_mb=70.0 * places + adapters,
@@ -245,8 +245,8 @@
         )
         self._changed = asyncio.Event()
         self._waiting = collections.defaultdict(list)
-        self._unserved = unserved_lib.Unserved()
-        self._meters = demand_lib.Meters(now=clock.now())
+        self._unserved = unserved_lib.UnservedModels()
+        self._meters = demand_lib.RequestRates(now=clock.now())
         self._call_tasks = set()
         self._tasks = []
         self.planner = self._new_planner(fence=1)
@@ -357,7 +357,7 @@
                 rates.get(key, 0.0),
                 len(self._waiting.get(key, ())),
                 min(self._waiting.get(key) or [0.0]),
-                self._unserved.seconds(key, clock.now()),
+                self._unserved.unserved_seconds(key, clock.now()),
             )
             for key in sorted({*rates, *self._waiting})
         ]
@@ -389,10 +389,10 @@
         arrived_at = clock.now()
         key = (SERVICE, model, adapter)
         self._meters.count(key, arrived_at)
-        deadline = patience_lib.until_place(
+        deadline = queue_deadlines.target_wait_deadline(
             route=ROUTE,
-            came=arrived_at,
-            heard=0.0,
+            arrived_at=arrived_at,
+            last_sent_at=0.0,
             deadline=arrived_at + ROUTE.timeout,
         )
         is_waiting = False
@@ -401,7 +401,7 @@
                 now = clock.now()
                 engine = self._find_engine(model, adapter)
                 if engine is not None:
-                    self._unserved.served(key)
+                    self._unserved.record_service(key)
                     break
                 expected = self._expected(model, now)
                 if now >= deadline or (expected or now) > deadline:
@@ -409,7 +409,7 @@
                         "no_adapter" if self._find_engine(model) else "no_model"
                     )
                     self.reasons[reason] += 1
-                    return patience_lib.come_back(
+                    return queue_deadlines.retry_after_seconds(
                         expected=expected, now=now, usual=RETRY_AFTER_SECONDS
                     )
                 if not is_waiting:
@@ -458,11 +458,11 @@
         return min(times, default=None)
 
     def _start_waiting(self, key):
-        self._unserved.missed(key, clock.now())
+        self._unserved.record_miss(key, clock.now())
         self._waiting[key].append(ROUTE.objective)
         if len(self._waiting[key]) == 1 and self.planner is not None:
             rate = self._meters.rates(clock.now()).get(key, 0.0)
-            unserved = self._unserved.seconds(key, clock.now())
+            unserved = self._unserved.unserved_seconds(key, clock.now())
             demand = site_messages.Demand(
                 *key, rate, 1, ROUTE.objective, unserved
             )
--- a/tests/test_forward.py
+++ b/tests/test_forward.py
@@ -11,7 +11,6 @@
 from endivestream.connection import registry as registry_lib
 from endivestream.request import admission
 from endivestream.request import call as call_lib
-from endivestream.request import choice as choice_lib
 from endivestream.request import forward as forward_lib
 from endivestream.request import forward_parts
 from endivestream.request import lease_queue
@@ -19,6 +18,7 @@
 from endivestream.request import rate_limits as rate_limits_lib
 from endivestream.request import repeats as repeats_lib
 from endivestream.request import routes as routes_lib
+from endivestream.request import target_selection
 from endivestream.version import document as document_lib
 from tornado import httpserver
 from tornado import netutil
@@ -29,11 +29,11 @@
 
 ONCE = test_document.route(timeout=5.0)
 IDEMPOTENT = test_document.route(
-    kind=document_lib.Kind.IDEMPOTENT, attempts=2, timeout=5.0
+    kind=document_lib.Kind.IDEMPOTENT, max_attempts=2, timeout=5.0
 )
 STREAM = test_document.route(kind=document_lib.Kind.STREAM, timeout=5.0)
 RESUMABLE = test_document.route(
-    kind=document_lib.Kind.STREAM, resumable=True, attempts=2, timeout=5.0
+    kind=document_lib.Kind.STREAM, resumable=True, max_attempts=2, timeout=5.0
 )
 
 
@@ -43,7 +43,7 @@
         self.taken = []
         self.refunded = []
 
-    async def take(self, team, cost, *, soon, patience):
+    async def take(self, team, cost, *, timely_within, patience):
         if self.short is None:
             self.taken.append(cost)
         return self.short
@@ -57,7 +57,9 @@
         self.targets = []
         self.lease = clock.now() + 60.0
         self.known_limits = rate_limits_lib.RateLimits()
-        self.view = choice_lib.View(domain="a", limits=self.known_limits)
+        self.view = target_selection.TargetView(
+            domain="a", limits=self.known_limits
+        )
         self.credit = FakeCredit()
         self.ended = []
         self.missed = []
@@ -81,34 +83,38 @@
             ratio=1.0, window=10.0, slack=100.0, now=clock.now() - 60.0
         )
         self.table = None
-        rules = admission.Rules(
+        rules = admission.AdmissionInputs(
             names=names_lib.HeaderNames(),
             table=lambda: self.table,
             lease_until=lambda: self.lease,
             share=lambda: 1.0,
-            takes=lambda kind: kind not in self.refused_kinds,
+            can_finish=lambda kind: kind not in self.refused_kinds,
         )
-        parts = forward_parts.Parts(
+        parts = forward_parts.SharedParts(
             rules=rules,
             view=self.view,
             pool=self.pool,
             credit=self.credit,
             repeats=lambda service: self.repeats,
-            ask_repeat=self._ask_repeat,
-            missing=self._missing,
-            changed=self._changed,
-            confirm=self._confirm,
-            asked=lambda work: None,
-            found=lambda work: None,
-            idle=lambda: None,
-            freed=lambda: None,
-            permit=self._permit,
-            heard_limit=lambda registration, text: self.limits.append(text),
-            turn=self._turn,
-            observe=self.ended.append,
+            request_repeat=self._ask_repeat,
+            report_missing=self._missing,
+            wait_for_change=self._changed,
+            confirm_configuration=self._confirm,
+            request_received=lambda work: None,
+            target_assigned=lambda work: None,
+            model_idle=lambda: None,
+            slot_freed=lambda: None,
+            acquire_send=self._permit,
+            rate_limit_reported=lambda registration, text: self.limits.append(
+                text
+            ),
+            prefill_delay=self._turn,
+            record_metrics=self.ended.append,
         )
         self.forwarder = forward_lib.Forwarder(parts=parts)
-        front = call_lib.Front(serve=self.forwarder.serve, now=clock.now)
+        front = call_lib.RequestServer(
+            serve=self.forwarder.serve, now=clock.now
+        )
         self.server = httpserver.HTTPServer(front)
         sockets = netutil.bind_sockets(0, "127.0.0.1")
         self.server.add_sockets(sockets)
@@ -245,7 +251,9 @@
         self.turn_seconds = 60.0
         self.caller.send(X_Deadline_Ms=60_000, X_Tokens="1000,10", X_Model="a")
         with mock.patch.object(
-            forward_lib.patience_lib, "until_turn", lambda **fields: math.inf
+            forward_lib.queue_deadlines,
+            "turn_wait_deadline",
+            lambda **fields: math.inf,
         ):
             while self._current_stages() != ["turn"]:
                 await asyncio.sleep(0.001)
@@ -255,7 +263,7 @@
     async def test_a_request_that_waits_for_a_limited_target_is_answered(self):
         self._route(ONCE)
         await self._start_target(standin.says(standin.answer()))
-        self.known_limits.heard("t1", 1, 1.5, clock.now())
+        self.known_limits.record_answer("t1", 1, 1.5, clock.now())
         self.permit_waits = True
         await self._check_stop_answer("limit", [503])
 
@@ -305,7 +313,7 @@
         await self._start_target(begins)
         self.caller.send(X_Deadline_Ms=60_000)
         while not self.forwarder._active or not any(
-            each.call.begun for each in self.forwarder._active.values()
+            each.call.head_sent for each in self.forwarder._active.values()
         ):
             await asyncio.sleep(0.001)
         self.forwarder.stop_all()
@@ -315,7 +323,7 @@
 
 class RateLimitTest(ForwardTest):
     def _limit(self, target, rate=1.5):
-        self.known_limits.heard(target, 1, rate, clock.now())
+        self.known_limits.record_answer(target, 1, rate, clock.now())
 
     async def test_a_request_denied_by_a_rate_limit_uses_another_target(self):
         self._route(ONCE)
@@ -464,7 +472,7 @@
     ):
         """Guards against memory filled by callers during a long outage."""
         self.lease = -math.inf
-        with mock.patch.object(lease_queue, "_MOST_REQUESTS", 0):
+        with mock.patch.object(lease_queue, "_MAX_REQUESTS", 0):
             reply = await self.caller.ask(X_Deadline_Ms=60_000)
         self.assertEqual(reply.status, 503)
         self.assertEqual(self.waited, 0)
@@ -754,7 +762,7 @@
         """Guards against requests that wait for a target that never answers."""
         route = test_document.route(
             kind=document_lib.Kind.IDEMPOTENT,
-            attempts=2,
+            max_attempts=2,
             timeout=5.0,
             objective=0.05,
         )
@@ -919,7 +927,7 @@
 
 class ModelTest(ForwardTest):
     def _serve_model(self, objective=0.5):
-        engine = document_lib.Engine(
+        engine = document_lib.EngineCapacity(
             slots=8,
             cache_tokens=1,
             weights_mb=1,
