--- a/packages/endivestream/src/endivestream/process/control.py
+++ b/packages/endivestream/src/endivestream/process/control.py
@@ -23,7 +23,7 @@
 from endivestream.connection import exchange as exchange_lib
 from endivestream.connection import link_keys
 from endivestream.connection import links
-from endivestream.process import leading as leading_lib
+from endivestream.process import leader as leader_lib
 from endivestream.process import settings as settings_lib
 from endivestream.process import views
 from endivestream.version import credit as credit_lib
@@ -42,7 +42,7 @@
 _CALL_RETRY_SECONDS = 0.03
 
 
-class Leading(Protocol):
+class LeaderRole(Protocol):
     """Leader role of a control host."""
 
     def start(self) -> None:
@@ -62,7 +62,7 @@
         """Answers a message that only the leader may answer."""
 
 
-class Lead(NamedTuple):
+class LeaderContext(NamedTuple):
     """Resources of the leader role during one term.
 
     Attributes:
@@ -85,7 +85,7 @@
         pool: exchange_lib.Pool,
         on_failed: Callable[[OSError], None],
         keys: link_keys.LinkKeys | None = None,
-        lead: Callable[[Lead], Leading] | None = None,
+        leader_factory: Callable[[LeaderContext], LeaderRole] | None = None,
         new_identity: str = "",
         meter: loop_meter.LoopMeter | None = None,
     ) -> None:
@@ -97,14 +97,14 @@
             pool: Connections to targets.
             on_failed: Called once the log cannot continue.
             keys: Keys of the links, if they are authenticated.
-            lead: Creates the leader role for a term; by default the one that
-                schedules each request on the leader.
+            leader_factory: Creates the leader role for a term; by default the
+                one that schedules each request on the leader.
             new_identity: Identity of this replica if the data folder is new;
                 random if empty.
             meter: Records the time spent on messages.
         """
         self._meter = meter or loop_meter.LoopMeter()
-        self._leading_factory = lead
+        self._leader_factory = leader_factory
         self._new_identity = new_identity
         self._settings = settings
         self._configured_controls = tuple(settings.peers.control)
@@ -126,7 +126,7 @@
                 allowed_folder=settings.link_keys.allowed_folder,
             )
         self._replicator: replicate.Replicator | None = None
-        self._leading: Leading | None = None
+        self._leader_role: LeaderRole | None = None
         self._links: dict[str, links.Link] = {}
         self._join_task: asyncio.Task[None] | None = None
         self._close_tasks: set[asyncio.Task[None]] = set()
@@ -146,23 +146,25 @@
         return self._replicator
 
     @property
-    def leading(self) -> leading_lib.Leading | None:
+    def leader_role(self) -> leader_lib.Leader | None:
         """The request-scheduling leader role, or None if not active."""
-        leading = self._leading
-        return leading if isinstance(leading, leading_lib.Leading) else None
+        leader_role = self._leader_role
+        return (
+            leader_role if isinstance(leader_role, leader_lib.Leader) else None
+        )
 
     @property
     def live_targets(self) -> set[str]:
         """Names of targets that may get new requests; empty if not leader."""
-        if self.leading is None:
+        if self.leader_role is None:
             return set()
-        live = self.leading.dispatcher.targets.live(time.monotonic())
+        live = self.leader_role.dispatcher.targets.live(time.monotonic())
         return {session.info.name for session in live}
 
     @property
     def levels(self) -> dict[str, float]:
         """Each team's credit in tokens; empty if not leader."""
-        return self.leading.limiter.levels() if self.leading else {}
+        return self.leader_role.limiter.levels() if self.leader_role else {}
 
     async def start(
         self,
@@ -258,26 +260,26 @@
             self._authenticator.close()
 
     def _on_role(self, leads: bool) -> None:
-        if self._leading is not None:
-            task = asyncio.create_task(self._leading.close())
+        if self._leader_role is not None:
+            task = asyncio.create_task(self._leader_role.close())
             self._close_tasks.add(task)
             task.add_done_callback(self._close_tasks.discard)
-            self._leading = None
+            self._leader_role = None
         if leads:
-            self._leading = self._make_leading()
-            self._leading.start()
+            self._leader_role = self._create_leader_role()
+            self._leader_role.start()
 
-    def _make_leading(self) -> Leading:
-        if self._leading_factory is not None:
-            return self._leading_factory(
-                Lead(self.replicator, self._server.push)
+    def _create_leader_role(self) -> LeaderRole:
+        if self._leader_factory is not None:
+            return self._leader_factory(
+                LeaderContext(self.replicator, self._server.push)
             )
-        return leading_lib.Leading(
+        return leader_lib.Leader(
             settings=self._settings,
             replicator=self.replicator,
             pool=self._pool,
             push=self._server.push,
-            credit_heard=self._credit_received_at,
+            credit_received_at=self._credit_received_at,
         )
 
     def _restart_credit_refill(self) -> None:
@@ -296,8 +298,8 @@
         if isinstance(command, credit_lib.SetAside):
             now = time.monotonic()
             self._credit_received_at.update(dict.fromkeys(command.levels, now))
-        if self._leading is not None:
-            self._leading.applied(command, result)
+        if self._leader_role is not None:
+            self._leader_role.applied(command, result)
 
     async def call(
         self, message: messages.Message, *, seconds: float
@@ -402,14 +404,14 @@
                     message.sender, message.address, message.body
                 )
             return None
-        leading = self._leading
-        if leading is None or not self.replicator.leads:
+        leader_role = self._leader_role
+        if leader_role is None or not self.replicator.leads:
             address = self.replicator.leader_address
             members = len(self.replicator.replica.members.all)
             return messages.NotLeader(address=address, members=members)
         try:
             match message:
-                case messages.AskStatus() if self.leading is None:
+                case messages.AskStatus() if self.leader_role is None:
                     return messages.Status(body=b"{}")
                 case messages.Propose(command=command):
                     result = await self.replicator.propose(command)
@@ -420,11 +422,11 @@
                         version=version,
                         host=self._settings.host.name,
                         replicator=self.replicator,
-                        leading=self.leading,
+                        leader_role=self.leader_role,
                     )
                     return messages.Status(body=msgspec.json.encode(view_data))
                 case _:
-                    answer = await leading.handle(peer, message)
+                    answer = await leader_role.handle(peer, message)
                     if not self.replicator.leads:
                         # While the handler waited, perhaps with the process
                         # suspended, another host became leader. Credit or a
--- a/packages/endivestream/src/endivestream/process/leading.py
+++ b/packages/endivestream/src/endivestream/process/leader.py
@@ -35,7 +35,7 @@
 _EXPIRE_CALLS_INTERVAL_SECONDS = 60.0
 
 
-class Leading:
+class Leader:
     """The leader's state and message handlers for one term of leadership.
 
     Attributes:
@@ -52,13 +52,13 @@
         replicator: replicate.Replicator,
         pool: exchange_lib.Pool,
         push: Callable[[Iterable[bytes], messages.Message], Awaitable[None]],
-        credit_heard: dict[str, float],
+        credit_received_at: dict[str, float],
     ) -> None:
         timing = settings.timing
         self._settings = settings
         self._replicator = replicator
         self._push = push
-        self._credit_received_at = credit_heard
+        self._credit_received_at = credit_received_at
         self.limiter = limiter_lib.Limiter(reserve_credit=self._reserve_credit)
         self.dispatcher = dispatcher_lib.Dispatcher(
             silence_seconds=timing.target_silence_seconds,
--- a/packages/endivestream/src/endivestream/process/site_control.py
+++ b/packages/endivestream/src/endivestream/process/site_control.py
@@ -23,7 +23,7 @@
 from endivestream.process import control as control_lib
 from endivestream.process import seat as seat_lib
 from endivestream.process import settings as settings_lib
-from endivestream.process import site_leading
+from endivestream.process import site_leader
 from endivestream.process import site_metrics
 from endivestream.process import site_settings
 from endivestream.version import document as document_lib
@@ -58,7 +58,7 @@
             context=self._context,
             pool=self._pool,
             on_failed=on_failed,
-            lead=self._make_leading,
+            leader_factory=self._create_leader_role,
             new_identity=_founder_identity(settings.peers)
             if settings.first_start
             else "",
@@ -89,9 +89,13 @@
         """Metrics of this host; readable after `start`."""
         return self._metrics
 
-    def _make_leading(self, lead: control_lib.Lead) -> control_lib.Leading:
-        return site_leading.SiteLeading(
-            settings=self._settings, lead=lead, meter=self._meter
+    def _create_leader_role(
+        self, leader_context: control_lib.LeaderContext
+    ) -> control_lib.LeaderRole:
+        return site_leader.SiteLeader(
+            settings=self._settings,
+            leader_context=leader_context,
+            meter=self._meter,
         )
 
     async def start(self) -> None:
--- a/packages/endivestream/src/endivestream/process/site_leading.py
+++ b/packages/endivestream/src/endivestream/process/site_leader.py
@@ -77,23 +77,26 @@
     reported_teams: frozenset[str] = frozenset()
 
 
-class SiteLeading:
+class SiteLeader:
     """The leader's state and message handlers for one term of leadership."""
 
     def __init__(
         self,
         *,
         settings: site_settings.SiteSettings,
-        lead: control_lib.Lead,
+        leader_context: control_lib.LeaderContext,
         meter: loop_meter.LoopMeter | None = None,
     ) -> None:
         self._settings = settings
         self._meter = meter or loop_meter.LoopMeter()
-        self._replicator = lead.replicator
+        self._replicator = leader_context.replicator
         self._started_at = clock.now()
         self._is_table_complete = False
         self._registry = registry_lib.Registry()
-        for name, started_at in lead.replicator.state.departures.born.items():
+        for (
+            name,
+            started_at,
+        ) in leader_context.replicator.state.departures.born.items():
             self._registry.leave(name, self._started_at, started_at)
         self._silent_targets: set[str] = set()
         self._sessions: dict[str, _EntryHostSession] = {}
@@ -103,25 +106,25 @@
         self._rate_limits = rate_limits_lib.RateLimits()
         self._send_slots = send_slots.SendSlots(now=self._started_at)
         self._steward = steward_lib.Steward(
-            replicator=lead.replicator,
+            replicator=leader_context.replicator,
             wanted=settings.voters,
             replace_seconds=_REPLACE_VOTER_SECONDS,
             superseded_seconds=_REPLACE_VOTER_SECONDS,
         )
         self._lease_manager = planner_lease_manager.PlannerLeaseManager(
             host=settings.machine,
-            replicator=lead.replicator,
+            replicator=leader_context.replicator,
             pause=settings.bounds.lease,
             sessions=lambda: self._registry.sessions,
             changed=self._targets_changed,
         )
         self._tasks: list[asyncio.Task[None]] = []
-        self._push = lead.push
+        self._push = leader_context.push
         self._push_tasks: set[asyncio.Task[None]] = set()
         self._loads_pushed_at = self._started_at
         self._table_updates = table_updates.TableUpdates(
-            term=lead.replicator.term,
-            push=lead.push,
+            term=leader_context.replicator.term,
+            push=leader_context.push,
             peers=lambda: [s.peer for s in self._sessions.values()],
             direct_peers=lambda: [
                 s.peer for s in self._sessions.values() if not self._relay_of(s)
@@ -132,7 +135,7 @@
         )
         self._confirmations = confirmations_lib.Confirmations(
             lease=settings.lease_seconds,
-            version=lead.replicator.state.document.version,
+            version=leader_context.replicator.state.document.version,
             positions=lambda: [s.position for s in self._sessions.values()],
         )
 
--- a/packages/endivestream/src/endivestream/process/views.py
+++ b/packages/endivestream/src/endivestream/process/views.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from endivestream import findings
-from endivestream.process import leading as leading_lib
+from endivestream.process import leader as leader_lib
 from endivestream.version import replicate
 
 VIEWS = (
@@ -27,7 +27,7 @@
     version: int,
     host: str,
     replicator: replicate.Replicator,
-    leading: leading_lib.Leading,
+    leader_role: leader_lib.Leader,
 ) -> Any:
     """Returns one view.
 
@@ -36,7 +36,7 @@
         version: For `in_force`: the configuration version to check.
         host: The leader's name.
         replicator: The leader's replica.
-        leading: The leader role.
+        leader_role: The leader role.
     """
     now = time.monotonic()
     configuration = replicator.state.configuration
@@ -60,16 +60,16 @@
                 for key in configuration.keys
             ]
         case "targets":
-            return _targets(replicator, leading, now)
+            return _targets(replicator, leader_role, now)
         case "models":
-            return _models(replicator, leading, now)
+            return _models(replicator, leader_role, now)
         case "voters":
             return _voters(replicator)
         case "in_force":
-            lagging = leading.host_leases.lagging(version, now)
+            lagging = leader_role.host_leases.lagging(version, now)
             return {"version": version, "lagging": lagging}
         case "status":
-            return _status(host, replicator, leading, now)
+            return _status(host, replicator, leader_role, now)
         case _:
             message = findings.unknown_word("view", name, VIEWS)
             return {"error": {"message": message}}
@@ -78,11 +78,11 @@
 def _status(
     host: str,
     replicator: replicate.Replicator,
-    leading: leading_lib.Leading,
+    leader_role: leader_lib.Leader,
     now: float,
 ) -> dict[str, Any]:
     state = replicator.state
-    targets = leading.dispatcher.targets
+    targets = leader_role.dispatcher.targets
     members = replicator.replica.members
     return {
         "control": host,
@@ -92,12 +92,12 @@
         "learners": len(members.learners),
         "configuration_version": state.configuration.version,
         "rules_version": state.configuration.rules_version,
-        "hosts": [host._asdict() for host in leading.host_leases.live],
+        "hosts": [host._asdict() for host in leader_role.host_leases.live],
         "targets_live": len(targets.live(now)),
         "targets_known": len(targets.sessions),
-        "models_without_room": leading.placer.unplaced,
+        "models_without_room": leader_role.placer.unplaced,
         "calls_kept": len(state.calls),
-        "credit": leading.limiter.levels(),
+        "credit": leader_role.limiter.levels(),
     }
 
 
@@ -132,10 +132,10 @@
 
 
 def _targets(
-    replicator: replicate.Replicator, leading: leading_lib.Leading, now: float
+    replicator: replicate.Replicator, leader_role: leader_lib.Leader, now: float
 ) -> list[dict[str, Any]]:
     ledger = replicator.state.ledger.targets
-    targets = leading.dispatcher.targets
+    targets = leader_role.dispatcher.targets
     live = {session.info.name for session in targets.live(now)}
     rows = []
     for name, session in targets.sessions.items():
@@ -158,10 +158,10 @@
 
 
 def _models(
-    replicator: replicate.Replicator, leading: leading_lib.Leading, now: float
+    replicator: replicate.Replicator, leader_role: leader_lib.Leader, now: float
 ) -> dict[str, int]:
     copies = dict.fromkeys(replicator.state.configuration.rules.models, 0)
-    for session in leading.dispatcher.targets.live(now):
+    for session in leader_role.dispatcher.targets.live(now):
         for model in session.loaded:
             if model in copies:
                 copies[model] += 1
--- a/tests/leader_site.py
+++ b/tests/leader_site.py
@@ -19,7 +19,7 @@
 from endivestream.connection import relays as relays_lib
 from endivestream.process import control as control_lib
 from endivestream.process import entry_credit
-from endivestream.process import site_leading
+from endivestream.process import site_leader
 from endivestream.process import site_settings
 from endivestream.request import credit_shares as credit_shares_lib
 from endivestream.version import document as document_lib
@@ -308,12 +308,14 @@
         )
         self._encode_patch.start()
         self._server.start()
-        self.leading = site_leading.SiteLeading(
+        self.leader_role = site_leader.SiteLeader(
             settings=SETTINGS,
-            lead=control_lib.Lead(self.log, self._server.push),
+            leader_context=control_lib.LeaderContext(
+                self.log, self._server.push
+            ),
         )
-        self.log.on_applied = self.leading.applied
-        self.leading.start()
+        self.log.on_applied = self.leader_role.applied
+        self.leader_role.start()
         self.run_periodically(_LAG_PROBE_SECONDS, self._measure_loop_lag)
         return self
 
@@ -321,7 +323,7 @@
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        await self.leading.close()
+        await self.leader_role.close()
         await self._server.close()
         self._encode_patch.stop()
 
@@ -337,7 +339,7 @@
             host.receive_frame(frame)
 
     async def _handle(self, peer, message):
-        return await self.leading.handle(peer, message)
+        return await self.leader_role.handle(peer, message)
 
     def run_periodically(self, seconds, action, *, delay=0.0):
         """Runs an action periodically until the site is closed."""
@@ -400,7 +402,7 @@
         """Drains a target; returns the time at which that was confirmed."""
         self._draining_targets.add(target)
         registration = self._registration(target)
-        await self.leading.handle(
+        await self.leader_role.handle(
             b"c1", site_messages.Register(said=registration)
         )
         return clock.now()
@@ -435,7 +437,9 @@
                 for n in range(routes)
             ],
         )
-        await self.leading.handle(b"c1", site_messages.Apply(document=document))
+        await self.leader_role.handle(
+            b"c1", site_messages.Apply(document=document)
+        )
         return clock.now()
 
     def run_hosts(self, *, every, credit):
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -318,7 +318,7 @@
 
         The link failed while the charge waited, and the charge was sent again.
         """
-        limiter = self.control.control.leading.limiter
+        limiter = self.control.control.leader_role.limiter
         first = messages.Charge(
             team="band", request="all", tokens=100_000, patience=5.0
         )
@@ -340,7 +340,7 @@
         newer link. The earlier request for a place arrives after it.
         """
         await self.add_engine("e1")
-        dispatcher = self.control.control.leading.dispatcher
+        dispatcher = self.control.control.leader_role.dispatcher
         dispatcher.release(messages.Ending(request="r.1", team="", used=0))
         answer = await dispatcher.ask(
             messages.AskTicket(
@@ -367,7 +367,7 @@
             team="band", request="r", tokens=1, patience=1.0
         )
         leads = [True]
-        handle = control.leading.handle
+        handle = control.leader_role.handle
 
         async def handle_and_lose_lease(peer, message):
             answer = await handle(peer, message)
@@ -381,7 +381,7 @@
                 unittest.mock.PropertyMock(side_effect=lambda: leads[0]),
             ),
             unittest.mock.patch.object(
-                control.leading, "handle", handle_and_lose_lease
+                control.leader_role, "handle", handle_and_lose_lease
             ),
         ):
             answer = await control._handle(b"peer", charge)
--- a/tests/test_limited_hosts.py
+++ b/tests/test_limited_hosts.py
@@ -14,7 +14,7 @@
 from endivestream.connection import registry as registry_lib
 from endivestream.process import control as control_lib
 from endivestream.process import entry_rate_limits
-from endivestream.process import site_leading
+from endivestream.process import site_leader
 from endivestream.request import rate_limits as rate_limits_lib
 
 from tests import leader_site
@@ -73,7 +73,7 @@
     async def ask(self, message, *, seconds):
         """Sends a request to the leader; replaces the leader session."""
         await self._wait_while_frozen()
-        leader = self._site.leading
+        leader = self._site.leader_role
         if leader is None or self.is_cut_off:
             await asyncio.sleep(seconds)
             return None
@@ -91,7 +91,7 @@
         if self._is_renewing:
             return
         self._is_renewing = True
-        leader = self._site.leading
+        leader = self._site.leader_role
         host = site_messages.EntryHost(self.name, 1, "a", self.name, False)
         answer = await self.ask(
             site_messages.Renew(
@@ -140,7 +140,7 @@
 class Site:
     def __init__(self, *, hosts, rate):
         self.target = Target(rate)
-        self.leading = None
+        self.leader_role = None
         self.hosts = [Host(self, number) for number in range(hosts)]
         self._terms = 0
         self._tasks = set()
@@ -153,29 +153,29 @@
     async def close(self):
         for task in list(self._tasks):
             task.cancel()
-        if self.leading is not None:
-            await self.leading.close()
+        if self.leader_role is not None:
+            await self.leader_role.close()
 
     async def start_leader(self):
         """Starts a new leader without the state of its predecessor."""
         log = leader_site.Log()
         self._terms += 1
         log.term = self._terms
-        self.leading = site_leading.SiteLeading(
+        self.leader_role = site_leader.SiteLeader(
             settings=leader_site.SETTINGS,
-            lead=control_lib.Lead(log, self._push),
+            leader_context=control_lib.LeaderContext(log, self._push),
         )
-        self.leading.start()
+        self.leader_role.start()
         await self.report()
 
     async def report(self):
-        if self.leading is not None:
-            await self.leading.handle(
+        if self.leader_role is not None:
+            await self.leader_role.handle(
                 b"c1", site_messages.Register(said=self.target.registration)
             )
 
     async def replace_leader(self, seconds):
-        leader, self.leading = self.leading, None
+        leader, self.leader_role = self.leader_role, None
         await leader.close()
         await asyncio.sleep(seconds)
         await self.start_leader()
@@ -227,7 +227,7 @@
         match random_source.choice(
             ["leader", "freeze", "cut", "join", "return"]
         ):
-            case "leader" if site.leading is not None:
+            case "leader" if site.leader_role is not None:
                 await site.replace_leader(random_source.uniform(0.1, 1.5))
             case "freeze":
                 until = clock.now() + random_source.uniform(0.2, 3.0)
@@ -349,13 +349,13 @@
             await asyncio.sleep(1.0)
             await site.hosts[0].send()
             await asyncio.sleep(1.0)
-            before = dict(site.leading._rate_limits.rates)
+            before = dict(site.leader_role._rate_limits.rates)
             site.target.born += 1
             await site.report()
             outdated = site_messages.RateLimit("t1", 1, 1.5, 0.0)
-            site.leading._merge_rate_limits([outdated])
-            limits_after = dict(site.leading._rate_limits.rates)
-            planner_rates = site.leading._lease_manager._rate_limits.rates
+            site.leader_role._merge_rate_limits([outdated])
+            limits_after = dict(site.leader_role._rate_limits.rates)
+            planner_rates = site.leader_role._lease_manager._rate_limits.rates
             await site.close()
             return before, limits_after, planner_rates
 
@@ -380,7 +380,7 @@
             await site.replace_leader(0.5)
             await asyncio.sleep(6.0)
             limits_after = [host.limits.rate("t1", 1) for host in site.hosts]
-            table = site.leading._rate_limits.rates
+            table = site.leader_role._rate_limits.rates
             await site.close()
             return limits_before, limits_after, table
 
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -73,7 +73,9 @@
                 at=0.0,
             )
         )
-        await site.until(lambda: self.control.control.leading.placer.unplaced)
+        await site.until(
+            lambda: self.control.control.leader_role.placer.unplaced
+        )
         await site.until(lambda: engine.loaded)
         self.assertEqual(engine.most_memory, 100)
         self.assertEqual(self._ledger()["e1"].held, 100)
