--- a/packages/endivestream/src/endivestream/process/seat.py
+++ b/packages/endivestream/src/endivestream/process/planner_lease_holder.py
@@ -34,7 +34,7 @@
 Call = Callable[..., Awaitable[messages.Message | None]]
 
 
-class Seat:
+class PlannerLeaseHolder:
     """Planner lease as seen by one control host, for the process's lifetime."""
 
     def __init__(
@@ -79,13 +79,13 @@
         self._background_tasks: set[asyncio.Task[None]] = set()
 
     @property
-    def holds(self) -> bool:
+    def has_lease(self) -> bool:
         """Whether this host may send orders now."""
         now = clock.now()
         return self._orders_from <= now < self._lease_until
 
     @property
-    def unplaced(self) -> int:
+    def unplaced_models(self) -> int:
         """Models that requests wait for and that are not being loaded.
 
         0 on a host that does not place models.
@@ -161,7 +161,7 @@
             settings=self._settings,
             engines=self._engines,
             fence=self._fence,
-            may_order=lambda: self.holds,
+            may_order=lambda: self.has_lease,
             changed=self._send_placement_updates,
             sent=self._report_send,
             meter=self._meter,
--- a/packages/endivestream/src/endivestream/process/planner_lease_manager.py
+++ b/packages/endivestream/src/endivestream/process/planner_lease_manager.py
@@ -50,24 +50,25 @@
         *,
         host: str,
         replicator: replicate.Replicator,
-        pause: float,
+        holder_pause_seconds: float,
         sessions: Callable[[], Mapping[str, registry_lib.Session]],
-        changed: Callable[[Iterable[str]], None],
+        on_targets_changed: Callable[[Iterable[str]], None],
     ) -> None:
         """Appoints no holder before the first request.
 
         Args:
             host: Identity of this host in its own requests for the lease.
             replicator: The replicated log.
-            pause: Seconds without orders between two holders.
+            holder_pause_seconds: Seconds without orders between two holders.
             sessions: Returns all targets by name.
-            changed: Called with targets that have a new placement update.
+            on_targets_changed: Called with targets that have a new placement
+                update.
         """
         self._host = host
         self._replicator = replicator
-        self._holder_pause = pause
+        self._holder_pause = holder_pause_seconds
         self._sessions = sessions
-        self._on_targets_changed = changed
+        self._on_targets_changed = on_targets_changed
         self._uses = use_table.UseTable()
         # The last placement update of each target with the fencing token of its
         # sender. Numbers start at the sender's boot clock, so they are
@@ -87,7 +88,7 @@
         # Earliest time at which the holder may send orders.
         self._orders_from = self._started_at
         if self._lease_record.holder and not self._lease_record.settled:
-            self._orders_from += pause + _HOLDER_MARGIN_SECONDS
+            self._orders_from += holder_pause_seconds + _HOLDER_MARGIN_SECONDS
         self._appoint_lock = asyncio.Lock()
 
     @property
@@ -101,7 +102,7 @@
 
     # Input of the planner feed.
 
-    def reported(self, registration: registry_lib.Registration) -> None:
+    def forward_report(self, registration: registry_lib.Registration) -> None:
         """Forwards a target's report."""
         self._append(site_messages.FedReport(said=registration))
 
@@ -127,12 +128,12 @@
             self._target_list = targets
             self._append(targets)
 
-    def set_limits(self, rates: dict[str, float]) -> None:
+    def set_rate_limits(self, rates: dict[str, float]) -> None:
         """Forwards the rate limits of targets."""
         self._rate_limits = site_messages.FedLimits(rates=rates)
         self._append(self._rate_limits)
 
-    def renewed(self, message: site_messages.Renew) -> None:
+    def forward_demand(self, message: site_messages.Renew) -> None:
         """Forwards the demand and uses counted by an entry host."""
         host = message.host.name
         self._uses.note(host, message.uses)
@@ -146,11 +147,11 @@
             self._demand_by_host[host] = demand
             self._append(demand)
 
-    def missing(self, message: site_messages.Missing) -> None:
+    def forward_missing_models(self, message: site_messages.Missing) -> None:
         """Forwards demand for missing models without waiting for a renewal."""
         self._append(message)
 
-    def forget_host(self, host: str) -> None:
+    def remove_host(self, host: str) -> None:
         """Removes an expired entry host and its demand."""
         self._uses.forget(host)
         if self._demand_by_host.pop(host, None) is not None:
@@ -170,17 +171,19 @@
         """Returns the load of each target from all entry hosts but one."""
         return self._uses.loads(host)
 
-    def all_loads(self) -> dict[str, int]:
+    def total_loads(self) -> dict[str, int]:
         """Returns the load of each target from all entry hosts."""
         return self._uses.all_loads()
 
-    def notice(self, target: str) -> site_messages.Notice:
+    def placement_update(self, target: str) -> site_messages.Notice:
         """Returns the last placement update of a target."""
         if target in self._placement_updates:
             return self._placement_updates[target][1]
         return site_messages.Notice(target=target)
 
-    def told(self, message: site_messages.TellNotices) -> None:
+    def store_placement_updates(
+        self, message: site_messages.TellNotices
+    ) -> None:
         """Stores placement updates of the holder; ignores outdated ones."""
         if message.fence != self._lease_record.fence:
             return
@@ -197,7 +200,7 @@
         if updated:
             self._on_targets_changed(updated)
 
-    async def ask(
+    async def handle_lease_request(
         self, message: site_messages.AskSeat
     ) -> site_messages.ToldSeat:
         """Answers a request for the lease, or for new feed items."""
--- a/packages/endivestream/src/endivestream/process/site_control.py
+++ b/packages/endivestream/src/endivestream/process/site_control.py
@@ -21,7 +21,7 @@
 from endivestream.connection import exchange as exchange_lib
 from endivestream.connection import registry as registry_lib
 from endivestream.process import control as control_lib
-from endivestream.process import seat as seat_lib
+from endivestream.process import planner_lease_holder
 from endivestream.process import settings as settings_lib
 from endivestream.process import site_leader
 from endivestream.process import site_metrics
@@ -64,7 +64,7 @@
             else "",
             meter=self._meter,
         )
-        self._planner_lease = seat_lib.Seat(
+        self._planner_lease_holder = planner_lease_holder.PlannerLeaseHolder(
             host=settings.machine,
             settings=settings,
             engines=self._engines,
@@ -80,7 +80,7 @@
             departed=lambda: len(
                 self._control.replicator.state.departures.born
             ),
-            unplaced=lambda: self._planner_lease.unplaced,
+            unplaced=lambda: self._planner_lease_holder.unplaced_models,
             meter=self._meter,
         )
 
@@ -117,7 +117,7 @@
             and self._settings.peers in self._settings.controls,
             founders=founders,
         )
-        self._planner_lease.start()
+        self._planner_lease_holder.start()
 
     async def _wait_until_writable(self) -> None:
         """Waits until the disk is writable.
@@ -144,7 +144,7 @@
 
     async def close(self) -> None:
         """Transfers leadership and stops."""
-        await self._planner_lease.close()
+        await self._planner_lease_holder.close()
         await self._control.close()
         await self._meter.close()
         self._pool.close()
--- a/packages/endivestream/src/endivestream/process/site_leader.py
+++ b/packages/endivestream/src/endivestream/process/site_leader.py
@@ -114,9 +114,9 @@
         self._lease_manager = planner_lease_manager.PlannerLeaseManager(
             host=settings.machine,
             replicator=leader_context.replicator,
-            pause=settings.bounds.lease,
+            holder_pause_seconds=settings.bounds.lease,
             sessions=lambda: self._registry.sessions,
-            changed=self._targets_changed,
+            on_targets_changed=self._targets_changed,
         )
         self._tasks: list[asyncio.Task[None]] = []
         self._push = leader_context.push
@@ -211,12 +211,12 @@
                 )
                 return None
             case site_messages.Missing():
-                self._lease_manager.missing(message)
+                self._lease_manager.forward_missing_models(message)
                 return None
             case site_messages.AskSeat():
-                return await self._lease_manager.ask(message)
+                return await self._lease_manager.handle_lease_request(message)
             case site_messages.TellNotices():
-                self._lease_manager.told(message)
+                self._lease_manager.store_placement_updates(message)
                 return site_messages.Registered()
             case site_messages.Apply(document=document):
                 return await self._apply(document)
@@ -321,7 +321,7 @@
                 rate="none" if rate is None else rate,
                 told_by="host",
             )
-        self._lease_manager.set_limits(self._rate_limits.rates)
+        self._lease_manager.set_rate_limits(self._rate_limits.rates)
         # For a target that has not reported to this leader yet, the update
         # would list it as removed.
         reported = [name for name in changed if self._registry.find(name)]
@@ -396,11 +396,11 @@
         changed = self._registry.note(registration, now)
         if not changed:
             return
-        self._lease_manager.reported(registration)
+        self._lease_manager.forward_report(registration)
         if self._rate_limits.remove_older_starts(
             registration.name, registration.born
         ):
-            self._lease_manager.set_limits(self._rate_limits.rates)
+            self._lease_manager.set_rate_limits(self._rate_limits.rates)
         if registration.name in self._silent_targets:
             self._silent_targets.discard(registration.name)
         elif previous is not None and _is_same_for_hosts(
@@ -430,7 +430,9 @@
         registration = msgspec.structs.replace(
             session.said, in_memory=(), on_disk=()
         )
-        placement_update = self._lease_manager.notice(registration.name)
+        placement_update = self._lease_manager.placement_update(
+            registration.name
+        )
         return site_messages.Target(
             said=registration,
             closing=placement_update.closing,
@@ -491,7 +493,7 @@
         # Before anything is pushed to this host: it may have limits that were
         # reported only to the previous leader.
         self._merge_rate_limits(message.limits)
-        self._lease_manager.renewed(message)
+        self._lease_manager.forward_demand(message)
         grants = [
             self._credit_allocator.report(host.name, need, now)
             for need in message.needs
@@ -602,7 +604,7 @@
         names = {self._relay_of(s) for s in self._sessions.values()}
         peers = [self._sessions[name].peer for name in names if name]
         if peers:
-            loads = site_messages.Loads(loads=self._lease_manager.all_loads())
+            loads = site_messages.Loads(loads=self._lease_manager.total_loads())
             task = tasks.start(self._push(peers, loads), "push_loads")
             self._push_tasks.add(task)
             task.add_done_callback(self._push_tasks.discard)
@@ -618,7 +620,7 @@
                 del self._sessions[name]
                 self._confirmations.forget_host(name)
                 self._credit_allocator.forget(name)
-                self._lease_manager.forget_host(name)
+                self._lease_manager.remove_host(name)
                 logs.warn("entry_host_expired", peer=name)
 
     def _update_silent_targets(self, now: float) -> None:
--- a/tests/test_seat.py
+++ b/tests/test_planner_lease.py
@@ -11,8 +11,8 @@
 from endivestream import clock
 from endivestream import site_messages
 from endivestream.connection import registry as registry_lib
+from endivestream.process import planner_lease_holder
 from endivestream.process import planner_lease_manager
-from endivestream.process import seat as seat_lib
 from endivestream.version import members as members_lib
 from endivestream.version import planner_lease as planner_lease_lib
 from endivestream.version import state as state_lib
@@ -61,13 +61,13 @@
         return planner_lease_manager.PlannerLeaseManager(
             host=host,
             replicator=self.log,
-            pause=PAUSE_SECONDS,
+            holder_pause_seconds=PAUSE_SECONDS,
             sessions=lambda: self.sessions,
-            changed=self.changed.extend,
+            on_targets_changed=self.changed.extend,
         )
 
     async def _request_lease(self, host, position=None):
-        return await self.manager.ask(
+        return await self.manager.handle_lease_request(
             site_messages.AskSeat(
                 host=host, position=position or site_messages.Position()
             )
@@ -206,7 +206,9 @@
         """
         answer = await self._request_lease("m1")
         self.assertTrue(answer.fresh)
-        self.manager.missing(site_messages.Missing(host="e1", demand=()))
+        self.manager.forward_missing_models(
+            site_messages.Missing(host="e1", demand=())
+        )
         answer = await self._request_lease("m1", answer.position)
         self.assertFalse(answer.fresh)
         self.assertEqual(1, len(answer.items))
@@ -224,7 +226,9 @@
         self.sessions["t1"] = registry_lib.Session(registration, 0.0)
         answer = await self._request_lease("m1")
         for _ in range(planner_lease_manager._MAX_FEED_ITEMS + 1):
-            self.manager.missing(site_messages.Missing(host="e1", demand=()))
+            self.manager.forward_missing_models(
+                site_messages.Missing(host="e1", demand=())
+            )
         answer = await self._request_lease("m1", answer.position)
         self.assertTrue(answer.fresh)
         reports = [
@@ -248,10 +252,10 @@
             update = site_messages.Notice(
                 target="t1", number=number, closing=closing
             )
-            self.manager.told(
+            self.manager.store_placement_updates(
                 site_messages.TellNotices(fence=fence, notices=(update,))
             )
-        self.assertEqual(("m",), self.manager.notice("t1").closing)
+        self.assertEqual(("m",), self.manager.placement_update("t1").closing)
         self.assertEqual(["t1"], self.changed)
 
     async def test_a_lower_update_number_of_a_new_holder_is_accepted(self):
@@ -267,9 +271,13 @@
         new_fence = (await self._request_lease("m2")).fence
         self.assertGreater(new_fence, old_fence)
         self._send_update(new_fence, 5, adapters=("m/a2",))
-        self.assertEqual(("m/a2",), self.manager.notice("t1").adapters)
+        self.assertEqual(
+            ("m/a2",), self.manager.placement_update("t1").adapters
+        )
         self._send_update(new_fence, 4, adapters=("m/a3",))
-        self.assertEqual(("m/a2",), self.manager.notice("t1").adapters)
+        self.assertEqual(
+            ("m/a2",), self.manager.placement_update("t1").adapters
+        )
         self.assertEqual(["t1", "t1"], self.changed)
 
     async def test_a_new_leader_keeps_updates_of_unreported_targets(self):
@@ -277,13 +285,15 @@
         answer = await self._request_lease("m1")
         self._send_update(answer.fence, 1, adapters=("m/a1",))
         self.manager.set_targets((), complete=False)
-        self.assertEqual(("m/a1",), self.manager.notice("t1").adapters)
+        self.assertEqual(
+            ("m/a1",), self.manager.placement_update("t1").adapters
+        )
         self.manager.set_targets((), complete=True)
-        self.assertEqual((), self.manager.notice("t1").adapters)
+        self.assertEqual((), self.manager.placement_update("t1").adapters)
 
     def _send_update(self, fence, number, **fields):
         update = site_messages.Notice(target="t1", number=number, **fields)
-        self.manager.told(
+        self.manager.store_placement_updates(
             site_messages.TellNotices(fence=fence, notices=(update,))
         )
 
@@ -291,10 +301,10 @@
         """Guards against decisions of a host that has lost the lease."""
         fence = (await self._request_lease("m1")).fence
         update = site_messages.Notice(target="t1", number=9, closing=("m",))
-        self.manager.told(
+        self.manager.store_placement_updates(
             site_messages.TellNotices(fence=fence - 1, notices=(update,))
         )
-        self.assertEqual((), self.manager.notice("t1").closing)
+        self.assertEqual((), self.manager.placement_update("t1").closing)
 
 
 class LeaseRecordTest(unittest.TestCase):
@@ -387,7 +397,7 @@
         if self.is_cut_off:
             return
         requested_at = self.test.now
-        answer = await self.test.manager.ask(
+        answer = await self.test.manager.handle_lease_request(
             site_messages.AskSeat(host=self.name, position=self.position)
         )
         if answer.holder == self.name:
@@ -460,9 +470,9 @@
         return planner_lease_manager.PlannerLeaseManager(
             host=host,
             replicator=log,
-            pause=PAUSE_SECONDS,
+            holder_pause_seconds=PAUSE_SECONDS,
             sessions=dict,
-            changed=lambda names: None,
+            on_targets_changed=lambda names: None,
         )
 
 
@@ -472,15 +482,15 @@
     async def asyncSetUp(self):
         self.answers = asyncio.Queue()
         self.sent = []
-        self.seat = seat_lib.Seat(
+        self.lease_holder = planner_lease_holder.PlannerLeaseHolder(
             host="m1",
             settings=test_site_planner.settings(),
             engines=test_site_planner.FakeEngines(()),
             call=self._call,
             document=lambda: test_site_planner.document(),
         )
-        self.seat.start()
-        self.addAsyncCleanup(self.seat.close)
+        self.lease_holder.start()
+        self.addAsyncCleanup(self.lease_holder.close)
 
     async def _call(self, message, *, seconds):
         self.sent.append(message)
@@ -499,24 +509,24 @@
 
     async def test_a_holder_orders_only_while_its_lease_is_valid(self):
         """Guards against orders before the first lease or after the last."""
-        self.assertFalse(self.seat.holds)
+        self.assertFalse(self.lease_holder.has_lease)
         await self._put_answer()
-        await self._wait_until(lambda: self.seat.holds)
+        await self._wait_until(lambda: self.lease_holder.has_lease)
         await self._put_answer(seconds=0.0)
-        await self._wait_until(lambda: not self.seat.holds)
+        await self._wait_until(lambda: not self.lease_holder.has_lease)
 
     async def test_a_holder_orders_nothing_before_its_pause_has_passed(self):
         """Guards against orders soon after those of the previous holder."""
         await self._put_answer(wait=30.0)
         await self._wait_until(lambda: len(self.sent) > 1)
-        self.assertFalse(self.seat.holds)
+        self.assertFalse(self.lease_holder.has_lease)
 
     async def test_a_host_that_lost_the_lease_stops(self):
         """Guards against orders after another host has acquired the lease."""
         await self._put_answer()
-        await self._wait_until(lambda: self.seat.holds)
+        await self._wait_until(lambda: self.lease_holder.has_lease)
         await self._put_answer(holder="m2")
-        await self._wait_until(lambda: not self.seat.holds)
+        await self._wait_until(lambda: not self.lease_holder.has_lease)
 
     async def test_a_new_leader_receives_all_placement_updates(self):
         """Guards against requests for a model that is about to be unloaded.
