--- a/packages/endivestream/src/endivestream/process/turn_desk.py
+++ b/packages/endivestream/src/endivestream/process/prefill_turn_service.py
@@ -31,7 +31,7 @@
 _LINK_SILENCE_SECONDS = 3.0
 
 
-class TurnDesk:
+class PrefillTurnService:
     """Requests and grants prefill turns on one entry host."""
 
     def __init__(
@@ -54,7 +54,7 @@
         self._turns = turns_lib.PrefillTurns()
         self._hosts: tuple[site_messages.EntryHost, ...] = ()
         self._links: dict[str, links.Link] = {}
-        self._silent_until: dict[str, float] = {}
+        self._skip_owner_until: dict[str, float] = {}
         self._close_tasks: set[asyncio.Task[None]] = set()
 
     async def close(self) -> None:
@@ -72,7 +72,7 @@
             self._close_tasks.add(close_task)
             close_task.add_done_callback(self._close_tasks.discard)
 
-    def owner(self, target: str, domain: str) -> str:
+    def turn_owner(self, target: str, domain: str) -> str:
         """Returns the address of an engine's turn owner; empty for this host.
 
         The turn owner is in the engine's failure domain if any host is, because
@@ -87,15 +87,15 @@
         )
         return "" if owner_host.name == self._name else owner_host.peers
 
-    async def take(
+    async def request_turn(
         self, target: str, domain: str, tokens: float, rank: int
     ) -> float:
         """Returns the seconds that a prompt should wait; 0 if no answer."""
-        owner = self.owner(target, domain)
+        owner = self.turn_owner(target, domain)
         now = clock.now()
         if not owner:
             return self._turns.take(target, tokens, rank, now)
-        if self._silent_until.get(owner, now) > now:
+        if self._skip_owner_until.get(owner, now) > now:
             return 0.0
         request = site_messages.AskTurn(target=target, tokens=tokens, rank=rank)
         try:
@@ -104,7 +104,7 @@
             )
         except links.LinkDownError as error:
             logs.warn("turn_unanswered", peer=owner, why=error)
-            self._silent_until[owner] = clock.now() + _SKIP_OWNER_SECONDS
+            self._skip_owner_until[owner] = clock.now() + _SKIP_OWNER_SECONDS
             return 0.0
         match answer:
             case site_messages.GiveTurn(seconds=seconds):
@@ -112,7 +112,9 @@
         logs.warn("unexpected_message", message=type(answer).__name__)
         return 0.0
 
-    def answer(self, message: site_messages.AskTurn) -> site_messages.GiveTurn:
+    def grant_turn(
+        self, message: site_messages.AskTurn
+    ) -> site_messages.GiveTurn:
         """Answers a request for a prefill turn at an engine owned here."""
         wait = self._turns.take(
             message.target, message.tokens, message.rank, clock.now()
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -3,7 +3,7 @@
 
 from endivestream import site_messages
 from endivestream.connection import links
-from endivestream.process import turn_desk
+from endivestream.process import prefill_turn_service
 from endivestream.request import queue_deadlines
 from endivestream.request import turns as turns_lib
 from endivestream.version import document as document_lib
@@ -119,24 +119,26 @@
     )
 
 
-class TurnDeskTest(unittest.IsolatedAsyncioTestCase):
+class PrefillTurnServiceTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.context = zmq.asyncio.Context()
-        self.desks = []
+        self.services = []
         self.servers = []
 
     async def asyncTearDown(self):
-        for desk in self.desks:
-            await desk.close()
+        for service in self.services:
+            await service.close()
         for server in self.servers:
             await server.close()
         self.context.destroy(linger=0)
 
-    def _desk(self, name, hosts=()):
-        desk = turn_desk.TurnDesk(name=name, context=self.context)
-        desk.set_hosts(hosts)
-        self.desks.append(desk)
-        return desk
+    def _create_service(self, name, hosts=()):
+        service = prefill_turn_service.PrefillTurnService(
+            name=name, context=self.context
+        )
+        service.set_hosts(hosts)
+        self.services.append(service)
+        return service
 
     async def test_all_hosts_name_the_same_owner(self):
         """Guards against two turn owners of one engine.
@@ -145,12 +147,13 @@
         owners only if that domain has none.
         """
         hosts = [_host("e1", "a"), _host("e2", "a"), _host("e3", "b")]
-        desks = [self._desk(h.name, hosts=hosts) for h in hosts]
+        services = [self._create_service(h.name, hosts=hosts) for h in hosts]
         for number in range(30):
             for domain in "abc":
                 owners = {
-                    desk.owner(f"t{number}", domain) or f"tcp://{host.name}:1"
-                    for desk, host in zip(desks, hosts, strict=True)
+                    service.turn_owner(f"t{number}", domain)
+                    or f"tcp://{host.name}:1"
+                    for service, host in zip(services, hosts, strict=True)
                 }
                 self.assertEqual(len(owners), 1)
                 if domain == "b":
@@ -158,16 +161,16 @@
 
     async def test_a_draining_host_is_no_turn_owner(self):
         hosts = [_host("e1", "a", draining=True), _host("e2", "a")]
-        desk = self._desk("e2", hosts=hosts)
+        service = self._create_service("e2", hosts=hosts)
         for number in range(10):
-            self.assertEqual(desk.owner(f"t{number}", "a"), "")
+            self.assertEqual(service.turn_owner(f"t{number}", "a"), "")
 
     async def test_prompts_of_two_hosts_share_one_queue(self):
         """Guards against hosts whose prompts do not wait for each other."""
-        owner = self._desk("e1")
+        owner = self._create_service("e1")
 
         async def answer(peer, message):
-            return owner.answer(message)
+            return owner.grant_turn(message)
 
         server = links.Server(
             address="tcp://127.0.0.1:*", handle=answer, context=self.context
@@ -175,15 +178,15 @@
         server.start()
         self.servers.append(server)
         host = site_messages.EntryHost("e1", 1, "a", "", False, server.address)
-        other = self._desk("e2", hosts=[host])
+        other = self._create_service("e2", hosts=[host])
         owner.set_hosts([host])
         for _ in range(10):
-            await owner.take("t", "a", 3000.0, 1)
+            await owner.request_turn("t", "a", 3000.0, 1)
         # The first requests may fail until the connection is made.
         wait = 0.0
         while not wait:
-            other._silent_until.clear()
-            wait = await other.take("t", "a", 3000.0, 1)
+            other._skip_owner_until.clear()
+            wait = await other.request_turn("t", "a", 3000.0, 1)
         self.assertGreater(wait, 1.0)
 
     async def test_an_unreachable_turn_owner_delays_no_prompt(self):
@@ -192,9 +195,9 @@
         It does not answer: the prompt is sent immediately, and the owner gets
         no further requests for some time.
         """
-        desk = self._desk("e2", hosts=[_host("127.0.0.1", "a")])
-        self.assertEqual(await desk.take("t", "a", 3000.0, 1), 0.0)
-        self.assertIn("tcp://127.0.0.1:1", desk._silent_until)
-        links_before = dict(desk._links)
-        self.assertEqual(await desk.take("t", "a", 3000.0, 1), 0.0)
-        self.assertEqual(desk._links, links_before)
+        service = self._create_service("e2", hosts=[_host("127.0.0.1", "a")])
+        self.assertEqual(await service.request_turn("t", "a", 3000.0, 1), 0.0)
+        self.assertIn("tcp://127.0.0.1:1", service._skip_owner_until)
+        links_before = dict(service._links)
+        self.assertEqual(await service.request_turn("t", "a", 3000.0, 1), 0.0)
+        self.assertEqual(service._links, links_before)
