--- a/packages/endivestream/src/endivestream/process/credit_allocator.py
+++ b/packages/endivestream/src/endivestream/process/credit_allocator.py
@@ -208,15 +208,15 @@
         teams: tuple[document_lib.Team, ...],
         now: float,
         *,
-        full: bool,
+        start_full: bool,
     ) -> None:
         """Sets the teams of a configuration.
 
         Args:
             teams: All teams.
             now: Current time.
-            full: Whether new teams start with a full burst. False for a new
-                leader, because the teams may be new only to this leader.
+            start_full: Whether new teams start with a full burst. False for a
+                new leader, because the teams may be new only to this leader.
         """
         buckets = {}
         for team in teams:
@@ -228,7 +228,7 @@
                     "team", team=team.name, rate=team.rate, burst=team.burst
                 )
             if bucket is None:
-                level = team.burst if full else 0.0
+                level = team.burst if start_full else 0.0
                 bucket = _Bucket(team=team, level=level, refilled_at=now)
             else:
                 bucket.refill(now)
@@ -240,7 +240,7 @@
             buckets[team.name] = bucket
         self._buckets = buckets
 
-    def report(
+    def handle_report(
         self, host: str, need: site_messages.Need, now: float
     ) -> site_messages.Grant | None:
         """Records a host's report and grants credit; None if not limited."""
@@ -265,14 +265,14 @@
                 bucket.wanted.set(host, 0.0)
                 bucket.held.set(host, 0.0)
 
-    def ask(
+    def request_credit(
         self,
         host: str,
         need: site_messages.Need,
         now: float,
         *,
-        soon: float = 0.0,
-        patience: float = 0.0,
+        timely_within: float = 0.0,
+        max_wait_seconds: float = 0.0,
     ) -> site_messages.Grant | None:
         """Grants credit for one request; None if the team has no limit.
 
@@ -283,9 +283,9 @@
             host: The entry host that needs the credit.
             need: Balance of the host and cost of the request.
             now: Current time.
-            soon: Seconds that the request can wait and still be answered in
-                time.
-            patience: Maximum seconds that the request can wait.
+            timely_within: Seconds that the request can wait and still be
+                answered in time.
+            max_wait_seconds: Maximum seconds that the request can wait.
         """
         bucket = self._buckets.get(need.team)
         if bucket is None:
@@ -303,7 +303,7 @@
         # Small requests may take their fraction of the refill meanwhile.
         rate = bucket.team.rate * (1.0 - _SMALL_RATE_FRACTION)
         delay = (need.wanted - bucket.level) / rate
-        max_wait = patience if bucket.is_steady else soon
+        max_wait = max_wait_seconds if bucket.is_steady else timely_within
         if delay <= max_wait:
             bucket.level -= need.wanted
             grant = self._create_grant(host, bucket, need.wanted, 0.0)
@@ -315,7 +315,7 @@
             told=retry_after
         )
 
-    def forget(self, host: str) -> None:
+    def remove_host(self, host: str) -> None:
         """Removes an expired host; the credit that it held is lost."""
         for bucket in self._buckets.values():
             bucket.wanted.set(host, 0.0)
--- a/packages/endivestream/src/endivestream/process/site_leader.py
+++ b/packages/endivestream/src/endivestream/process/site_leader.py
@@ -151,7 +151,7 @@
     def start(self) -> None:
         """Starts leading with the replicated state as it is now."""
         if self._document is not None:
-            self._set_teams(self._document, full=False)
+            self._set_teams(self._document, start_full=False)
         self._steward.start()
         self._table_updates.start()
         self._tasks = [tasks.start(self._sweep(), "sweep")]
@@ -177,14 +177,16 @@
                     routes=len(document.routes),
                     teams=len(document.teams),
                 )
-                self._set_teams(document, full=True)
+                self._set_teams(document, start_full=True)
                 self._confirmations.committed(document.version, self._sessions)
                 self._table_updates.push_document(document)
 
     def _set_teams(
-        self, document: document_lib.Document, *, full: bool
+        self, document: document_lib.Document, *, start_full: bool
     ) -> None:
-        self._credit_allocator.set_teams(document.teams, clock.now(), full=full)
+        self._credit_allocator.set_teams(
+            document.teams, clock.now(), start_full=start_full
+        )
 
     async def handle(
         self, peer: bytes, message: messages.Message
@@ -332,12 +334,12 @@
         self, host: str, request: site_messages.CreditAsk
     ) -> site_messages.Grant:
         need = request.need
-        grant = self._credit_allocator.ask(
+        grant = self._credit_allocator.request_credit(
             host,
             need,
             clock.now(),
-            soon=request.soon,
-            patience=request.patience,
+            timely_within=request.soon,
+            max_wait_seconds=request.patience,
         )
         if grant is None:
             # This leader has no limit for the team (yet): credit is not short.
@@ -495,7 +497,7 @@
         self._merge_rate_limits(message.limits)
         self._lease_manager.forward_demand(message)
         grants = [
-            self._credit_allocator.report(host.name, need, now)
+            self._credit_allocator.handle_report(host.name, need, now)
             for need in message.needs
         ]
         had_session = session is not None and session.peer == peer
@@ -619,7 +621,7 @@
             if now - session.last_renewal > self._settings.lease_seconds:
                 del self._sessions[name]
                 self._confirmations.forget_host(name)
-                self._credit_allocator.forget(name)
+                self._credit_allocator.remove_host(name)
                 self._lease_manager.remove_host(name)
                 logs.warn("entry_host_expired", peer=name)
 
--- a/tests/test_credit_portions.py
+++ b/tests/test_credit_shares.py
@@ -29,7 +29,7 @@
     def __init__(self, hosts):
         self.now = 100.0
         self.allocator = credit_allocator_lib.CreditAllocator()
-        self.allocator.set_teams((team(),), self.now, full=True)
+        self.allocator.set_teams((team(),), self.now, start_full=True)
         self.hosts = {
             f"h{n}": credit_shares_lib.CreditShares() for n in range(hosts)
         }
@@ -41,7 +41,7 @@
 
     def replace_leader(self):
         self.allocator = credit_allocator_lib.CreditAllocator()
-        self.allocator.set_teams((team(),), self.now, full=False)
+        self.allocator.set_teams((team(),), self.now, start_full=False)
         self.reported_teams = {}
 
     def renew(self, host, *, lost=False):
@@ -54,7 +54,9 @@
             host, self.reported_teams.get(host, set()) - reported
         )
         self.reported_teams[host] = reported
-        grants = [self.allocator.report(host, need, self.now) for need in needs]
+        grants = [
+            self.allocator.handle_report(host, need, self.now) for need in needs
+        ]
         if lost:
             return
         credit_shares.record_answer(self.now)
@@ -71,7 +73,7 @@
             balance = credit_shares.balance("band")
             need = site_messages.Need("band", 0.0, balance, cost)
             credit_shares.apply_grant(
-                self.allocator.ask(host, need, self.now), self.now
+                self.allocator.request_credit(host, need, self.now), self.now
             )
             if credit_shares.spend("band", cost, self.now):
                 self.spending.append((self.now, cost))
@@ -120,13 +122,17 @@
     def test_a_host_keeps_no_share_of_a_team_it_stopped_reporting(self):
         """Guards against a lost last report reducing other hosts' credit."""
         need = site_messages.Need("band", 0.0, 0.0, 2 * BURST)
-        self.site.allocator.report("h0", need, self.site.now)
-        shared_max = self.site.allocator.report("h1", need, self.site.now).most
+        self.site.allocator.handle_report("h0", need, self.site.now)
+        shared_max = self.site.allocator.handle_report(
+            "h1", need, self.site.now
+        ).most
         self.site.cut_off_hosts.add("h0")
         self._renew(40)
         self.site.cut_off_hosts.clear()
         self._renew(1)
-        full_max = self.site.allocator.report("h1", need, self.site.now).most
+        full_max = self.site.allocator.handle_report(
+            "h1", need, self.site.now
+        ).most
         self.assertGreater(full_max, 1.9 * shared_max)
 
     def test_a_late_grant_does_not_keep_an_idle_team_reported(self):
@@ -142,16 +148,30 @@
 class ReservationQueueTest(unittest.TestCase):
     def setUp(self):
         self.allocator = credit_allocator_lib.CreditAllocator()
-        self.allocator.set_teams((team(),), 0.0, full=False)
-
-    def ask(self, now, *, soon=0.2, patience=2.0, cost=COST, host="h0"):
+        self.allocator.set_teams((team(),), 0.0, start_full=False)
+
+    def request_credit(
+        self,
+        now,
+        *,
+        timely_within=0.2,
+        max_wait_seconds=2.0,
+        cost=COST,
+        host="h0",
+    ):
         need = site_messages.Need("band", 0.0, 0.0, cost)
-        return self.allocator.ask(host, need, now, soon=soon, patience=patience)
+        return self.allocator.request_credit(
+            host,
+            need,
+            now,
+            timely_within=timely_within,
+            max_wait_seconds=max_wait_seconds,
+        )
 
     def report(self, demand, now=0.0):
         wanted = demand * credit_shares_lib.CREDIT_AHEAD_SECONDS
         need = site_messages.Need("band", 0.0, 0.0, wanted)
-        self.allocator.report("h1", need, now)
+        self.allocator.handle_report("h1", need, now)
 
     def test_a_backlog_after_an_outage_is_served_in_order(self):
         """Guards against refusals of a backlog that the rate covers.
@@ -162,24 +182,28 @@
         time, retry together, and all but the first would be refused finally.
         """
         self.report(RATE / 2)
-        grants = [self.ask(0.0) for _ in range(15)]
+        grants = [self.request_credit(0.0) for _ in range(15)]
         self.assertEqual([COST] * 15, [g.credit for g in grants])
         delays = [grant.after for grant in grants]
         self.assertEqual(sorted(set(delays)), delays)
         self.assertLessEqual(15 * COST / RATE, delays[-1])
         self.assertLessEqual(delays[-1], 2.0)
         # A later request waits behind them.
-        self.assertGreater(0.5 + self.ask(0.5).after, delays[-1])
+        self.assertGreater(0.5 + self.request_credit(0.5).after, delays[-1])
 
     def test_reserved_credit_is_granted_only_once(self):
         """Guards against granting reserved credit to hosts that report."""
         self.report(RATE / 2)
-        reserved = [self.ask(0.0) for _ in range(5)]
+        reserved = [self.request_credit(0.0) for _ in range(5)]
         self.assertEqual(5, sum(g.after > 0 for g in reserved))
         need = site_messages.Need("band", 0.0, 0.0, RATE)
         for now in (0.1, 0.3, 0.49):
-            self.assertEqual(0.0, self.allocator.report("h2", need, now).credit)
-        self.assertGreater(self.allocator.report("h2", need, 0.9).credit, 0.0)
+            self.assertEqual(
+                0.0, self.allocator.handle_report("h2", need, now).credit
+            )
+        self.assertGreater(
+            self.allocator.handle_report("h2", need, 0.9).credit, 0.0
+        )
 
     def test_a_team_over_its_rate_has_a_short_reservation_queue(self):
         """Guards against late answers when a team exceeds its rate.
@@ -190,7 +214,7 @@
         immediately, each with a later retry time than the one before.
         """
         self.report(6 * RATE)
-        grants = [self.ask(0.0) for _ in range(12)]
+        grants = [self.request_credit(0.0) for _ in range(12)]
         reserved = [g for g in grants if g.credit]
         refused = [g for g in grants if not g.credit]
         self.assertTrue(reserved)
@@ -213,25 +237,27 @@
         for tick in range(100):
             now = 1.0 + tick * 0.01
             for _ in range(2):
-                self.ask(now, soon=0.2)
+                self.request_credit(now, timely_within=0.2)
             if tick % 20 == 0:
-                small_grants.append(self.ask(now, soon=0.05, cost=COST / 10))
+                small_grants.append(
+                    self.request_credit(now, timely_within=0.05, cost=COST / 10)
+                )
         self.assertEqual([COST / 10] * 5, [g.credit for g in small_grants])
         self.assertLess(max(g.after for g in small_grants), 0.01)
 
     def test_credit_for_small_requests_is_no_extra_credit(self):
         """Guards against granting the reserved credit on top of the burst."""
         allocator = credit_allocator_lib.CreditAllocator()
-        allocator.set_teams((team(),), 0.0, full=True)
+        allocator.set_teams((team(),), 0.0, start_full=True)
         granted = 0.0
         for tick in range(100):
             now = tick * 0.01
             for cost in (COST, COST / 10, COST / 10):
                 need = site_messages.Need("band", 0.0, 0.0, cost)
-                grant = allocator.ask("h0", need, now)
+                grant = allocator.request_credit("h0", need, now)
                 granted += grant.credit
                 completed = need._replace(wanted=0.0)
-                allocator.report("h0", completed, now)
+                allocator.handle_report("h0", completed, now)
         self.assertLessEqual(granted, BURST + RATE * 1.0)
 
     @hypothesis.given(
@@ -247,14 +273,16 @@
     def test_no_window_of_reservations_exceeds_rate_and_burst(self, requests):
         """Guards against reservations that the refill does not cover."""
         allocator = credit_allocator_lib.CreditAllocator()
-        allocator.set_teams((team(),), 0.0, full=True)
+        allocator.set_teams((team(),), 0.0, start_full=True)
         now, grants = 0.0, []
         for pause, cost, patience in requests:
             now += pause
             need = site_messages.Need("band", 0.0, 0.0, cost)
-            grant = allocator.ask("h0", need, now, soon=0.0, patience=patience)
+            grant = allocator.request_credit(
+                "h0", need, now, timely_within=0.0, max_wait_seconds=patience
+            )
             grants.append((now + grant.after, grant.credit))
-            allocator.report("h0", need._replace(wanted=0.0), now)
+            allocator.handle_report("h0", need._replace(wanted=0.0), now)
         grants.sort()
         for start, _ in grants:
             for end, _ in grants:
@@ -286,7 +314,7 @@
             if event == "host":
                 name = data.draw(st.sampled_from(sorted(site.hosts)))
                 site.hosts[name] = credit_shares_lib.CreditShares()
-                site.allocator.forget(name)
+                site.allocator.remove_host(name)
             for position, name in enumerate(sorted(site.hosts)):
                 if (tick + position) % RENEW_TICKS == 0:
                     lost = event == "lost" and position == 0
@@ -322,7 +350,9 @@
         wants credit for the largest request, which in total exceeds the burst.
         """
         site = Site(hosts=8)
-        site.allocator.set_teams((team(RATE, 7 * COST),), site.now, full=True)
+        site.allocator.set_teams(
+            (team(RATE, 7 * COST),), site.now, start_full=True
+        )
         for tick in range(600):
             site.now += TICK
             for position, name in enumerate(sorted(site.hosts)):
@@ -382,7 +412,9 @@
                 site.renew(name)
                 for _ in range(3):
                     site.request(name)
-        site.allocator.set_teams((team(100.0, 100.0),), site.now, full=True)
+        site.allocator.set_teams(
+            (team(100.0, 100.0),), site.now, start_full=True
+        )
         held = sum(a.balance("band") for a in site.hosts.values())
         site.spending = []
         for _ in range(80):
@@ -401,9 +433,9 @@
         Credit that the previous leader granted may still be spent.
         """
         allocator = credit_allocator_lib.CreditAllocator()
-        allocator.set_teams((team(),), 0.0, full=False)
+        allocator.set_teams((team(),), 0.0, start_full=False)
         need = site_messages.Need("band", 0.0, 0.0, COST)
-        grant = allocator.ask("h0", need, 0.0)
+        grant = allocator.request_credit("h0", need, 0.0)
         self.assertEqual(grant.credit, 0.0)
         self.assertAlmostEqual(grant.short, COST / RATE)
 
@@ -414,9 +446,11 @@
         of the burst.
         """
         allocator = credit_allocator_lib.CreditAllocator()
-        allocator.set_teams((team(),), 0.0, full=True)
-        allocator.report("h0", site_messages.Need("band", 0, 0, 700.0), 0.0)
-        allocator.report(
+        allocator.set_teams((team(),), 0.0, start_full=True)
+        allocator.handle_report(
+            "h0", site_messages.Need("band", 0, 0, 700.0), 0.0
+        )
+        allocator.handle_report(
             "h0", site_messages.Need("band", 0, 700.0, 700.0), 60.0
         )
         self.assertLessEqual(allocator.levels["band"], BURST - 700.0)
