--- a/packages/endivestream/src/endivestream/process/confirmations.py
+++ b/packages/endivestream/src/endivestream/process/confirmations.py
@@ -77,19 +77,19 @@
         self._state_changed = asyncio.Event()
 
     @property
-    def rollout_begun(self) -> float:
+    def rollout_started_at(self) -> float:
         """When the newest configuration was committed, or the term began."""
         return self._rollout.started_at
 
     # Events received by the leader.
 
-    def committed(self, version: int, hosts: Iterable[str]) -> None:
+    def note_committed(self, version: int, hosts: Iterable[str]) -> None:
         """Records a new configuration that none of these hosts has yet."""
         self._rollout = _Rollout(
             version=version, started_at=clock.now(), pending_hosts=set(hosts)
         )
 
-    def confirmed(self, host: str, version: int) -> None:
+    def note_acknowledged(self, host: str, version: int) -> None:
         """Records that a host acts on a configuration or a newer table."""
         rollout = self._rollout
         if version >= rollout.version and host in rollout.pending_hosts:
@@ -102,16 +102,16 @@
                 )
         self._state_changed.set()
 
-    def forget_host(self, host: str) -> None:
+    def remove_host(self, host: str) -> None:
         """Records that a host's lease has expired."""
         self._rollout.pending_hosts.discard(host)
         self._state_changed.set()
 
-    def stays(self, target: str) -> None:
+    def cancel_departure(self, target: str) -> None:
         """Records that a target is registered, and cancels its departure."""
         self._departures.pop(target, None)
 
-    def forget_all_but(self, targets: Collection[str]) -> None:
+    def retain_targets(self, targets: Collection[str]) -> None:
         """Removes the departures of all targets except these."""
         for name in [n for n in self._departures if n not in targets]:
             del self._departures[name]
@@ -137,7 +137,7 @@
                 lacking=len(self._rollout.pending_hosts),
             )
 
-    async def wait_for_leave(
+    async def wait_for_departure(
         self,
         target: str,
         position: site_messages.Position,
--- a/packages/endivestream/src/endivestream/process/site_leader.py
+++ b/packages/endivestream/src/endivestream/process/site_leader.py
@@ -129,9 +129,11 @@
             direct_peers=lambda: [
                 s.peer for s in self._sessions.values() if not self._relay_of(s)
             ],
-            target=self._table_entry,
-            whole=self._full_table,
-            limits=lambda names: self._rate_limits.records(clock.now(), names),
+            table_entry=self._table_entry,
+            full_table=self._full_table,
+            rate_limits=lambda names: self._rate_limits.records(
+                clock.now(), names
+            ),
         )
         self._confirmations = confirmations_lib.Confirmations(
             lease=settings.lease_seconds,
@@ -178,7 +180,9 @@
                     teams=len(document.teams),
                 )
                 self._set_teams(document, start_full=True)
-                self._confirmations.committed(document.version, self._sessions)
+                self._confirmations.note_committed(
+                    document.version, self._sessions
+                )
                 self._table_updates.push_document(document)
 
     def _set_teams(
@@ -234,7 +238,7 @@
                 if registration.draining:
                     await self._wait_for_departure(registration.name)
                 else:
-                    self._confirmations.stays(registration.name)
+                    self._confirmations.cancel_departure(registration.name)
                 return site_messages.Registered()
             case site_messages.Deregister(name=name):
                 await self._deregister(name)
@@ -386,7 +390,7 @@
         await self._wait_for_departure(name)
 
     async def _wait_for_departure(self, name: str) -> None:
-        await self._confirmations.wait_for_leave(
+        await self._confirmations.wait_for_departure(
             name,
             self._table_updates.position,
             bound=self._settings.bounds.drain,
@@ -454,11 +458,11 @@
         )
         self._table_updates.record_targets(names)
 
-    def _full_table(self) -> table_updates.Table:
+    def _full_table(self) -> table_updates.TableSnapshot:
         targets = map(self._table_entry, self._registry.sessions)
-        return table_updates.Table(
+        return table_updates.TableSnapshot(
             targets=tuple(t for t in targets if t is not None),
-            gone=self._registry.departed,
+            removed=self._registry.departed,
             complete=self._is_table_complete,
         )
 
@@ -515,8 +519,8 @@
             return messages.NotLeader(address="")
         document = self._document
         version = document.version if document else 0
-        update = self._table_updates.since(message.position)
-        since_push = clock.now() - self._confirmations.rollout_begun
+        update = self._table_updates.update_since(message.position)
+        since_push = clock.now() - self._confirmations.rollout_started_at
         is_push_in_flight = had_session and since_push < _PUSH_IN_FLIGHT_SECONDS
         if message.version < version and not is_push_in_flight:
             position = message.position
@@ -563,7 +567,7 @@
         session = self._sessions.get(host)
         if session is not None:
             session.position = max(session.position, position)
-        self._confirmations.confirmed(host, version)
+        self._confirmations.note_acknowledged(host, version)
 
     def _update_live_hosts(self, now: float) -> None:
         """Records a table change if the set of live entry hosts changed."""
@@ -620,7 +624,7 @@
         for name, session in list(self._sessions.items()):
             if now - session.last_renewal > self._settings.lease_seconds:
                 del self._sessions[name]
-                self._confirmations.forget_host(name)
+                self._confirmations.remove_host(name)
                 self._credit_allocator.remove_host(name)
                 self._lease_manager.remove_host(name)
                 logs.warn("entry_host_expired", peer=name)
@@ -630,8 +634,8 @@
         changed = self._registry.expire(now, silence=_TARGET_EXPIRY_SECONDS)
         sessions = self._registry.sessions
         known_names = {*sessions, *self._registry.departed}
-        self._table_updates.forget_all_but(known_names)
-        self._confirmations.forget_all_but(known_names)
+        self._table_updates.retain_targets(known_names)
+        self._confirmations.retain_targets(known_names)
         self._rate_limits.remove_stale(sessions.keys(), now)
         self._send_slots.forget(self._rate_limits.rates)
         for name, session in sessions.items():
--- a/packages/endivestream/src/endivestream/process/table_updates.py
+++ b/packages/endivestream/src/endivestream/process/table_updates.py
@@ -45,17 +45,17 @@
 _MAX_PAUSE_SECONDS = 0.2
 
 
-class Table(NamedTuple):
+class TableSnapshot(NamedTuple):
     """Full table of targets as sent to entry hosts.
 
     Attributes:
         targets: All current targets.
-        gone: Names of recently departed targets.
+        removed: Names of recently departed targets.
         complete: Whether every healthy target has reported.
     """
 
     targets: tuple[site_messages.Target, ...]
-    gone: tuple[str, ...]
+    removed: tuple[str, ...]
     complete: bool
 
 
@@ -69,9 +69,9 @@
         push: Callable[[Sequence[bytes], messages.Message], Awaitable[None]],
         peers: Callable[[], Sequence[bytes]],
         direct_peers: Callable[[], Sequence[bytes]],
-        target: Callable[[str], site_messages.Target | None],
-        whole: Callable[[], Table],
-        limits: Callable[
+        table_entry: Callable[[str], site_messages.Target | None],
+        full_table: Callable[[], TableSnapshot],
+        rate_limits: Callable[
             [Collection[str] | None], tuple[site_messages.RateLimit, ...]
         ],
     ) -> None:
@@ -83,19 +83,19 @@
             peers: Returns the entry hosts' sockets.
             direct_peers: Returns the sockets of the entry hosts that do not
                 follow a relay.
-            target: Returns the current entry of a target; None if it has been
-                removed.
-            whole: Returns the full table.
-            limits: Returns the rate limits of some targets, or of all if the
-                names are None.
+            table_entry: Returns the current entry of a target; None if it has
+                been removed.
+            full_table: Returns the full table.
+            rate_limits: Returns the rate limits of some targets, or of all if
+                the names are None.
         """
         self._term = term
         self._push = push
         self._peers = peers
         self._direct_peers = direct_peers
-        self._target = target
-        self._full_table = whole
-        self._limits = limits
+        self._table_entry = table_entry
+        self._full_table = full_table
+        self._rate_limits = rate_limits
         self._last_change = 0
         self._last_pushed = 0
         # Number of the last change of each target, removed ones included.
@@ -148,7 +148,7 @@
         self._oldest_position = self._last_change
         self._change_recorded.set()
 
-    def forget_all_but(self, names: Collection[str]) -> None:
+    def retain_targets(self, names: Collection[str]) -> None:
         """Forgets the changes of all targets but these."""
         for name in [n for n in self._last_change_of_target if n not in names]:
             self._oldest_position = max(
@@ -157,7 +157,7 @@
 
     # Updates.
 
-    def since(
+    def update_since(
         self, position: site_messages.Position
     ) -> site_messages.News | None:
         """Returns the update for a host at a position; None if up to date."""
@@ -173,7 +173,7 @@
             for name, number in self._last_change_of_target.items()
             if number > position.number
         ]
-        targets = {name: self._target(name) for name in changed_names}
+        targets = {name: self._table_entry(name) for name in changed_names}
         has_entry_hosts = self._last_entry_hosts_change <= position.number
         return site_messages.News(
             position=self.position,
@@ -181,7 +181,7 @@
             targets=tuple(t for t in targets.values() if t is not None),
             gone=tuple(name for name, t in targets.items() if t is None),
             entries=None if has_entry_hosts else self._entry_hosts,
-            limits=self._limits(targets.keys()),
+            limits=self._rate_limits(targets.keys()),
         )
 
     def _full_update(self) -> site_messages.News:
@@ -191,9 +191,9 @@
             after=None,
             complete=table.complete,
             targets=table.targets,
-            gone=table.gone,
+            gone=table.removed,
             entries=self._entry_hosts,
-            limits=self._limits(None),
+            limits=self._rate_limits(None),
         )
 
     def push_document(self, document: document_lib.Document) -> None:
@@ -222,6 +222,6 @@
         """Pushes the changes since the last push to direct peers."""
         pushed_position = site_messages.Position(self._term, self._last_pushed)
         self._last_pushed = self._last_change
-        update = self.since(pushed_position)
+        update = self.update_since(pushed_position)
         if update is not None:
             await self._push(self._direct_peers(), update)
--- a/tests/test_table_news.py
+++ b/tests/test_table_updates.py
@@ -49,11 +49,11 @@
             push=self._push,
             peers=lambda: [b"e0"],
             direct_peers=lambda: [b"e0"],
-            target=self.table.get,
-            whole=lambda: table_updates.Table(
-                targets=tuple(self.table.values()), gone=(), complete=True
+            table_entry=self.table.get,
+            full_table=lambda: table_updates.TableSnapshot(
+                targets=tuple(self.table.values()), removed=(), complete=True
             ),
-            limits=lambda names: (),
+            rate_limits=lambda names: (),
         )
 
     async def _push(self, peers, message):
@@ -142,7 +142,7 @@
         await leader.updates.close()
 
     def _send_renewal(self, leader, entry):
-        update = leader.updates.since(entry._position)
+        update = leader.updates.update_since(entry._position)
         if update is not None:
             entry._take_news(update)
 
@@ -185,7 +185,7 @@
             leader.change(f"t{number}")
         position = leader.updates.position
         leader.change("t7")
-        update = leader.updates.since(position)
+        update = leader.updates.update_since(position)
         self.assertEqual([t.said.name for t in update.targets], ["t7"])
 
     def test_a_host_older_than_a_forgotten_removal_gets_the_full_table(self):
@@ -195,9 +195,9 @@
         old_position = leader.updates.position
         leader.change("t0", removed=True)
         leader.change("t1")
-        leader.updates.forget_all_but({"t1"})
-        self.assertIsNone(leader.updates.since(old_position).after)
-        update = leader.updates.since(
+        leader.updates.retain_targets({"t1"})
+        self.assertIsNone(leader.updates.update_since(old_position).after)
+        update = leader.updates.update_since(
             leader.updates.position._replace(number=2)
         )
         self.assertEqual([t.said.name for t in update.targets], ["t1"])
