--- a/packages/endivestream/src/endivestream/process/dispatcher.py
+++ b/packages/endivestream/src/endivestream/process/dispatcher.py
@@ -152,7 +152,7 @@
         self._grant_ready(now)
         return is_known
 
-    async def ask(
+    async def request_ticket(
         self, message: messages.AskTicket
     ) -> messages.Ticket | messages.Refused:
         """Assigns a slot, after waiting for one within the patience."""
@@ -251,7 +251,7 @@
             reason=grant.reason,
         )
 
-    def release(self, completion: messages.Ending) -> None:
+    def complete_request(self, completion: messages.Ending) -> None:
         """Releases the slot of a completed request. Idempotent."""
         now = time.monotonic()
         self._completed_requests[completion.request] = None
--- a/packages/endivestream/src/endivestream/process/leader.py
+++ b/packages/endivestream/src/endivestream/process/leader.py
@@ -219,11 +219,11 @@
                 return await self.limiter.charge(message)
             case messages.Endings(endings=completions):
                 for completion in completions:
-                    self.limiter.settle(completion)
-                    self.dispatcher.release(completion)
+                    self.limiter.complete_charge(completion)
+                    self.dispatcher.complete_request(completion)
                 return messages.Noted()
             case messages.AskTicket():
-                return await self.dispatcher.ask(message)
+                return await self.dispatcher.request_ticket(message)
             case messages.Announce(info=info):
                 refusal = self.dispatcher.announce(info)
                 return messages.Known(unknown=[], reason=refusal)
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -341,8 +341,10 @@
         """
         await self.add_engine("e1")
         dispatcher = self.control.control.leader_role.dispatcher
-        dispatcher.release(messages.Ending(request="r.1", team="", used=0))
-        answer = await dispatcher.ask(
+        dispatcher.complete_request(
+            messages.Ending(request="r.1", team="", used=0)
+        )
+        answer = await dispatcher.request_ticket(
             messages.AskTicket(
                 request="r.1",
                 team="band",
