--- a/packages/endivestream/src/endivestream/process/adapter_placer.py
+++ b/packages/endivestream/src/endivestream/process/adapter_placer.py
@@ -49,18 +49,18 @@
     def __init__(
         self,
         *,
-        changed: Callable[[Iterable[str]], None],
+        on_targets_changed: Callable[[Iterable[str]], None],
         running: Callable[[str], Mapping[str, int]],
     ) -> None:
         """Sends no orders yet.
 
         Args:
-            changed: Called with the engines whose adapters changed.
+            on_targets_changed: Called with the engines whose adapters changed.
             running: Returns the number of requests that run on an engine, by
                 `MODEL/ADAPTER`.
         """
         self._running = running
-        self._on_changed = changed
+        self._on_targets_changed = on_targets_changed
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def close(self) -> None:
@@ -132,7 +132,7 @@
             # Entry hosts stop sending immediately; the adapter still counts as
             # held until the engine has confirmed its unload.
             worker.evicting_adapters.add(victim)
-            self._on_changed([worker.registration.name])
+            self._on_targets_changed([worker.registration.name])
         self._start_task(self._replace(worker, name, victim, engine), "adapter")
 
     def _query_holders(
@@ -156,7 +156,7 @@
 
     async def _query(self, worker: worker_lib.EngineWorker) -> None:
         await worker.query()
-        self._on_changed([worker.registration.name])
+        self._on_targets_changed([worker.registration.name])
 
     async def _replace(
         self,
@@ -192,7 +192,7 @@
         finally:
             worker.pending_adapters.discard(name)
             worker.evicting_adapters.discard(victim)
-            self._on_changed([worker.registration.name])
+            self._on_targets_changed([worker.registration.name])
 
 
 def _choose_victim(
--- a/packages/endivestream/src/endivestream/process/demand_table.py
+++ b/packages/endivestream/src/endivestream/process/demand_table.py
@@ -53,7 +53,9 @@
     def __repr__(self) -> str:
         return f"<DemandTable of {len(self._entries)} models and adapters>"
 
-    def note(self, host: str, report: site_messages.Demand, now: float) -> None:
+    def record_demand(
+        self, host: str, report: site_messages.Demand, now: float
+    ) -> None:
         """Adds an entry host's demand for one model or adapter."""
         key = (report.service, report.model, report.adapter)
         entry = self._entries.setdefault(key, _Entry())
@@ -66,19 +68,19 @@
         if report.waiting:
             entry.waiting[host] = report.waiting
 
-    def forget(self, host: str) -> None:
+    def remove_host(self, host: str) -> None:
         """Removes an entry host's demand for all models and adapters."""
         for entry in self._entries.values():
             entry.forget(host)
 
-    def note_held(self, keys: Iterable[Key], now: float) -> None:
+    def record_servable(self, keys: Iterable[Key], now: float) -> None:
         """Records which models and adapters can serve requests now."""
         self._held_at |= dict.fromkeys(keys, now)
         for key, held_at in list(self._held_at.items()):
             if now - held_at > _HELD_MEMORY_SECONDS:
                 del self._held_at[key]
 
-    def adapters(self, service: str, now: float) -> dict[str, float]:
+    def waiting_adapters(self, service: str, now: float) -> dict[str, float]:
         """Returns the adapters of a service that requests wait for.
 
         Returns:
--- a/packages/endivestream/src/endivestream/process/engine_worker.py
+++ b/packages/endivestream/src/endivestream/process/engine_worker.py
@@ -67,7 +67,7 @@
         holder: str,
         fence: int,
         may_order: Callable[[], bool],
-        sent: Callable[[str], None] = lambda target: None,
+        on_request_sent: Callable[[str], None] = lambda target: None,
     ) -> None:
         self.registration = registration
         self.closing: set[str] = set()
@@ -87,7 +87,7 @@
         self._holder = holder
         self._fence = fence
         self._may_order = may_order
-        self._sent = sent
+        self._on_request_sent = on_request_sent
         self._lock = asyncio.Lock()
         # Number of orders that the engine has accepted; None if unknown.
         self._accepted_orders: int | None = None
@@ -141,7 +141,7 @@
         if model in self._pinned_until:
             self._pinned_until[model] = min(self._pinned_until[model], until)
 
-    def take_report(self, registration: registry_lib.Registration) -> None:
+    def apply_report(self, registration: registry_lib.Registration) -> None:
         """Applies an unsolicited report of the engine."""
         self.registration = registration
         self._queried_models -= {loaded.model for loaded in registration.loaded}
@@ -196,7 +196,7 @@
             return len(held) <= engine.adapter_places
         return self.fits(name, engine)
 
-    def forget_adapters(self, model: str) -> None:
+    def remove_model_state(self, model: str) -> None:
         """Removes the state of an unloaded model and of its adapters."""
         self._queried_models.discard(model)
         self._pinned_until.pop(model, None)
@@ -340,7 +340,7 @@
             holder=self._holder,
             fence=self._fence,
         )
-        self._sent(self.registration.name)
+        self._on_request_sent(self.registration.name)
         outcome = await self._engines.order(
             self.registration.address,
             self.registration.name,
@@ -376,7 +376,7 @@
         wait = self._accepted_at + MAX_REPORT_AGE_SECONDS - clock.now()
         await asyncio.sleep(max(0.0, wait))
         self.queried_at = clock.now()
-        self._sent(self.registration.name)
+        self._on_request_sent(self.registration.name)
         report = await self._engines.report(
             self.registration.address, seconds=ORDER_TIMEOUT_SECONDS
         )
--- a/packages/endivestream/src/endivestream/process/planner.py
+++ b/packages/endivestream/src/endivestream/process/planner.py
@@ -57,7 +57,7 @@
 # A model loaded for waiting requests is not displaced for the first of these
 # times, or for the second once a request runs: callers received a Retry-After
 # for it, and loads take longer than callers wait.
-_UNUSED_SECONDS = 5.0
+_UNUSED_PIN_SECONDS = 5.0
 _USED_PIN_SECONDS = 1.0
 # Minimum interval between log lines about one model that is not placed.
 _UNPLACED_LOG_INTERVAL_SECONDS = 1.0
@@ -73,8 +73,8 @@
         engines: engines_lib.Engines,
         fence: int,
         may_order: Callable[[], bool],
-        changed: Callable[[Iterable[str]], None],
-        sent: Callable[[str], None] = lambda target: None,
+        on_targets_changed: Callable[[Iterable[str]], None],
+        on_request_sent: Callable[[str], None] = lambda target: None,
         meter: loop_meter.LoopMeter | None = None,
     ) -> None:
         """Sends no orders before `start`.
@@ -85,10 +85,10 @@
             fence: The fencing token of all orders.
             may_order: Returns whether this host is certain to be the only one
                 that sends orders; called before each order.
-            changed: Called with the targets whose closing models or adapters
-                changed.
-            sent: Called for each order or query to a target that names a rate
-                limit.
+            on_targets_changed: Called with the targets whose closing models or
+                adapters changed.
+            on_request_sent: Called for each order or query to a target that
+                names a rate limit.
             meter: Records the time spent on planning.
         """
         self._meter = meter or loop_meter.LoopMeter()
@@ -96,8 +96,8 @@
         self._engines = engines
         self._fence = fence
         self._may_order = may_order
-        self._on_changed = changed
-        self._on_sent = sent
+        self._on_targets_changed = on_targets_changed
+        self._on_request_sent = on_request_sent
         # Rate limits named by targets, in requests per second.
         self._rate_limits: dict[str, float] = {}
         self._services: dict[str, document_lib.EngineCapacity] = {}
@@ -116,7 +116,7 @@
         self._wake_up = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
         self._adapters = adapter_placer.AdapterPlacer(
-            changed=changed, running=self._uses.adapters
+            on_targets_changed=on_targets_changed, running=self._uses.adapters
         )
 
     def start(self) -> None:
@@ -161,15 +161,15 @@
             if worker.task is not None:
                 worker.task.cancel()
 
-    def set_limits(self, rates: dict[str, float]) -> None:
+    def set_rate_limits(self, rates: dict[str, float]) -> None:
         """Sets the rate limits of targets, in requests per second."""
         self._rate_limits = dict(rates)
 
     def _count_send(self, target: str) -> None:
         if target in self._rate_limits:
-            self._on_sent(target)
+            self._on_request_sent(target)
 
-    def reported(self, registration: registry_lib.Registration) -> None:
+    def apply_report(self, registration: registry_lib.Registration) -> None:
         """Applies a report of a target."""
         worker = self._workers.get(registration.name)
         if worker is None or worker.registration.born != registration.born:
@@ -181,29 +181,31 @@
                 holder=self._settings.name,
                 fence=self._fence,
                 may_order=self._may_order,
-                sent=self._count_send,
+                on_request_sent=self._count_send,
             )
             self._workers[registration.name] = worker
-        worker.take_report(registration)
+        worker.apply_report(registration)
         self._wake_up.set()
 
-    def demanded(
+    def replace_demand(
         self, host: str, demand: Iterable[site_messages.Demand]
     ) -> None:
         """Replaces the demand of an entry host."""
-        self._demand.forget(host)
+        self._demand.remove_host(host)
         for entry in demand:
-            self._demand.note(host, entry, clock.now())
+            self._demand.record_demand(host, entry, clock.now())
 
-    def missing(
+    def add_waiting_demand(
         self, host: str, demand: Iterable[site_messages.Demand]
     ) -> None:
         """Adds demand of waiting requests and plans immediately."""
         for entry in demand:
-            self._demand.note(host, entry, clock.now())
+            self._demand.record_demand(host, entry, clock.now())
         self._wake_up.set()
 
-    def used(self, host: str, uses: Iterable[site_messages.Use]) -> None:
+    def replace_uses(
+        self, host: str, uses: Iterable[site_messages.Use]
+    ) -> None:
         """Replaces the running requests of an entry host."""
         uses = tuple(uses)
         self._uses.note(host, uses)
@@ -217,7 +219,9 @@
             if use.adapter and name in worker.adapters:
                 worker.adapters[name] = now
 
-    def failed(self, host: str, targets: Iterable[str]) -> None:
+    def replace_failing_targets(
+        self, host: str, targets: Iterable[str]
+    ) -> None:
         """Replaces the targets that an entry host reports as failing."""
         failing = frozenset(targets)
         if failing != self._failing_targets.get(host, frozenset()):
@@ -238,11 +242,11 @@
         )
         return hosts >= min(_MIN_FAILING_HOSTS, len(self._failing_targets))
 
-    def forget_host(self, host: str) -> None:
+    def remove_host(self, host: str) -> None:
         """Removes the state of an entry host that was removed."""
         self._failing_targets.pop(host, None)
         self._uses.forget(host)
-        self._demand.forget(host)
+        self._demand.remove_host(host)
 
     # Output.
 
@@ -252,16 +256,16 @@
         return tuple(self._workers)
 
     @property
-    def unplaced(self) -> int:
+    def unplaced_count(self) -> int:
         """Number of models that requests wait for and that no step loads."""
         return sum(map(len, self._unplaced.values()))
 
-    def closing(self, target: str) -> tuple[str, ...]:
+    def closing_models(self, target: str) -> tuple[str, ...]:
         """Returns the models that get no new requests on a target."""
         worker = self._workers.get(target)
         return tuple(sorted(worker.closing)) if worker else ()
 
-    def coming(self, target: str) -> tuple[site_messages.Coming, ...]:
+    def pending_loads(self, target: str) -> tuple[site_messages.Coming, ...]:
         """Returns the models being loaded on a target, with the time left."""
         worker = self._workers.get(target)
         if worker is None or worker.step is None:
@@ -269,7 +273,7 @@
         remaining = max(0.0, worker.expected_ready_at - clock.now())
         return (site_messages.Coming(worker.step.model, remaining),)
 
-    def adapters(self, target: str) -> tuple[str, ...]:
+    def usable_adapters(self, target: str) -> tuple[str, ...]:
         """Returns the adapters usable on a target, as `MODEL/ADAPTER`."""
         worker = self._workers.get(target)
         if worker is None:
@@ -315,7 +319,7 @@
                 for name, worker in self._workers.items()
                 if worker.registration.service == service
             }
-            self._demand.note_held(
+            self._demand.record_servable(
                 self._servable_keys(service, workers.values()), now
             )
             planned = plan_lib.plan(
@@ -337,7 +341,7 @@
                     if not worker.registration.draining
                     and name not in self._silent_targets
                 ],
-                requested=self._demand.adapters(service, now),
+                requested=self._demand.waiting_adapters(service, now),
                 now=now,
             )
 
@@ -372,7 +376,7 @@
                 continue
             for model in worker.models - worker.closing:
                 yield (service, model, "")
-            for name in self.adapters(worker.registration.name):
+            for name in self.usable_adapters(worker.registration.name):
                 model, _, adapter = name.partition("/")
                 yield (service, model, adapter)
 
@@ -451,7 +455,7 @@
             + step.load_seconds
         )
         worker.closing.update(step.victims)
-        self._on_changed([step.target])
+        self._on_targets_changed([step.target])
         worker.task = tasks.start(
             self._run_step(worker, step, engine), "placement"
         )
@@ -473,7 +477,7 @@
             if not succeeded:
                 worker.blocked_until = clock.now() + _STEP_RETRY_SECONDS
             elif step.reason in ("missing", "overdue"):
-                worker.pin_model(step.model, clock.now() + _UNUSED_SECONDS)
+                worker.pin_model(step.model, clock.now() + _UNUSED_PIN_SECONDS)
             logs.event(
                 "placed" if succeeded else "placement_failed",
                 target=step.target,
@@ -481,7 +485,7 @@
                 seconds=clock.now() - started_at,
             )
             if worker.registration.name in self._workers:
-                self._on_changed([step.target])
+                self._on_targets_changed([step.target])
             self._wake_up.set()
 
     async def _execute_step(
@@ -500,7 +504,7 @@
         if not await worker.order(load=True, model=step.model, engine=engine):
             return False
         worker.expected_ready_at = clock.now() + step.load_seconds
-        self._on_changed([step.target])
+        self._on_targets_changed([step.target])
         seconds = next(
             (m.load_seconds for m in engine.models if m.name == step.model), 5.0
         )
@@ -522,7 +526,7 @@
             worker, lambda: victim not in worker.models, _UNLOAD_TIMEOUT_SECONDS
         )
         if unloaded:
-            worker.forget_adapters(victim)
+            worker.remove_model_state(victim)
         return unloaded
 
     async def _wait_until_idle(
--- a/packages/endivestream/src/endivestream/process/planner_lease_holder.py
+++ b/packages/endivestream/src/endivestream/process/planner_lease_holder.py
@@ -90,7 +90,7 @@
 
         0 on a host that does not place models.
         """
-        return self._planner.unplaced if self._planner else 0
+        return self._planner.unplaced_count if self._planner else 0
 
     def start(self) -> None:
         """Starts requesting the lease."""
@@ -162,8 +162,8 @@
             engines=self._engines,
             fence=self._fence,
             may_order=lambda: self.has_lease,
-            changed=self._send_placement_updates,
-            sent=self._report_send,
+            on_targets_changed=self._send_placement_updates,
+            on_request_sent=self._report_send,
             meter=self._meter,
         )
 
@@ -179,7 +179,7 @@
             if isinstance(item, site_messages.FedDemand)
         }
         for host in self._known_hosts - listed_hosts:
-            planner.forget_host(host)
+            planner.remove_host(host)
         self._known_hosts = listed_hosts
 
     def _apply_feed_item(
@@ -188,18 +188,18 @@
         match item:
             case site_messages.FedDemand(host=host):
                 self._known_hosts.add(host)
-                planner.demanded(host, item.demand)
-                planner.used(host, item.uses)
-                planner.failed(host, item.failing)
+                planner.replace_demand(host, item.demand)
+                planner.replace_uses(host, item.uses)
+                planner.replace_failing_targets(host, item.failing)
             case site_messages.Missing(host=host, demand=demand):
-                planner.missing(host, demand)
+                planner.add_waiting_demand(host, demand)
             case site_messages.FedGone(host=host):
                 self._known_hosts.discard(host)
-                planner.forget_host(host)
+                planner.remove_host(host)
             case site_messages.FedReport(said=registration):
-                planner.reported(registration)
+                planner.apply_report(registration)
             case site_messages.FedLimits(rates=rates):
-                planner.set_limits(rates)
+                planner.set_rate_limits(rates)
             case site_messages.FedTargets():
                 planner.set_targets(
                     item.names, set(item.silent), complete=item.complete
@@ -224,9 +224,9 @@
             site_messages.Notice(
                 target=target,
                 number=self._update_number,
-                closing=planner.closing(target),
-                adapters=planner.adapters(target),
-                coming=planner.coming(target),
+                closing=planner.closing_models(target),
+                adapters=planner.usable_adapters(target),
+                coming=planner.pending_loads(target),
             )
             for target in targets
         )
--- a/packages/endivestream/src/endivestream/process/planner_lease_manager.py
+++ b/packages/endivestream/src/endivestream/process/planner_lease_manager.py
@@ -173,7 +173,7 @@
 
     def total_loads(self) -> dict[str, int]:
         """Returns the load of each target from all entry hosts."""
-        return self._uses.all_loads()
+        return self._uses.total_loads()
 
     def placement_update(self, target: str) -> site_messages.Notice:
         """Returns the last placement update of a target."""
--- a/packages/endivestream/src/endivestream/process/use_table.py
+++ b/packages/endivestream/src/endivestream/process/use_table.py
@@ -63,7 +63,7 @@
         """Returns the requests that run on a target, by `MODEL/ADAPTER`."""
         return dict(self._adapters.get(target, {}))
 
-    def all_loads(self) -> dict[str, int]:
+    def total_loads(self) -> dict[str, int]:
         """Returns the load of each target from all entry hosts.
 
         Requests in the prefill phase count twice.
--- a/tests/placement_site.py
+++ b/tests/placement_site.py
@@ -257,12 +257,12 @@
             engines=Engines(self.engines),
             fence=fence,
             may_order=lambda: True,
-            changed=lambda names: self._signal(),
+            on_targets_changed=lambda names: self._signal(),
         )
         planner.set_document(self._document)
         for engine in self.engines:
             engine.report = lambda engine=engine: self._report(engine)
-            planner.reported(engine.registration())
+            planner.apply_report(engine.registration())
         planner.set_targets(
             [engine.name for engine in self.engines], set(), complete=True
         )
@@ -280,7 +280,7 @@
             task.cancel()
         await self.planner.close()
 
-    async def replace_holder(self, *, pause):
+    async def replace_planner(self, *, pause):
         """Replaces the planner, as when its host fails.
 
         Args:
@@ -299,7 +299,7 @@
         self._call_tasks.add(task)
         task.add_done_callback(self._call_tasks.discard)
 
-    def never_served(self, *, times=4, seconds=8.0):
+    def sustained_and_unserved(self, *, times=4, seconds=8.0):
         """Returns names with sustained demand, and those never served.
 
         Args:
@@ -333,7 +333,7 @@
 
     def _report(self, engine):
         if self.planner is not None:
-            self.planner.reported(engine.registration())
+            self.planner.apply_report(engine.registration())
         self._signal()
 
     async def _report_all(self):
@@ -346,8 +346,8 @@
         while True:
             await asyncio.sleep(RENEW_SECONDS)
             if self.planner is not None:
-                self.planner.demanded("h1", self._demand())
-                self.planner.used("h1", self._uses())
+                self.planner.replace_demand("h1", self._demand())
+                self.planner.replace_uses("h1", self._uses())
 
     def _demand(self):
         rates = self._meters.rates(clock.now())
@@ -436,10 +436,11 @@
             for engine in self.engines
             if model in engine.loaded
             and self.planner is not None
-            and model not in self.planner.closing(engine.name)
+            and model not in self.planner.closing_models(engine.name)
             and (
                 not adapter
-                or f"{model}/{adapter}" in self.planner.adapters(engine.name)
+                or f"{model}/{adapter}"
+                in self.planner.usable_adapters(engine.name)
             )
         ]
         if not holders:
@@ -452,7 +453,7 @@
         times = [
             now + each.seconds
             for engine in self.engines
-            for each in self.planner.coming(engine.name)
+            for each in self.planner.pending_loads(engine.name)
             if each.model == model
         ]
         return min(times, default=None)
@@ -466,7 +467,7 @@
             demand = site_messages.Demand(
                 *key, rate, 1, ROUTE.objective, unserved
             )
-            self.planner.missing("h1", [demand])
+            self.planner.add_waiting_demand("h1", [demand])
 
     def _stop_waiting(self, key):
         self._waiting[key].remove(ROUTE.objective)
@@ -481,7 +482,9 @@
             pass
 
 
-async def ask(site, *, model, rate, seconds, seed, adapter="", burst=1):
+async def start_requests(
+    site, *, model, rate, seconds, seed, adapter="", burst=1
+):
     """Starts requests for one model at random times, `burst` at a time."""
     rng = random.Random(f"{seed}/{model}/{adapter}")
     deadline = clock.now() + seconds
@@ -493,6 +496,6 @@
             site.call(model, adapter)
 
 
-def allowed_never(count):
+def max_never_served(count):
     """Returns how many of a number of models may end the run unserved."""
     return math.floor(1 + 0.1 * count)
--- a/tests/test_site_planner.py
+++ b/tests/test_site_planner.py
@@ -200,7 +200,7 @@
             engines=self.fake,
             fence=7,
             may_order=may_order,
-            changed=lambda names: self.changes.extend(names),
+            on_targets_changed=lambda names: self.changes.extend(names),
         )
         self.planner.set_document(document())
         self.numbers = dict.fromkeys((e.name for e in engines), 0)
@@ -212,7 +212,7 @@
 
     def _report(self, engine):
         self.numbers[engine.name] += 1
-        self.planner.reported(
+        self.planner.apply_report(
             registry_lib.Registration(
                 name=engine.name,
                 service="s",
@@ -227,7 +227,7 @@
 
     def _request(self, model, adapter="", waiting=1):
         demand = site_messages.Demand("s", model, adapter, 1, waiting, 0.8)
-        self.planner.missing("h1", (demand,))
+        self.planner.add_waiting_demand("h1", (demand,))
 
     async def _until(self, condition):
         async with asyncio.timeout(20):
@@ -248,13 +248,13 @@
         """Guards against cancelling running loads on a change of leader."""
         engine = Engine("e1", "ab")
         self._start(engine)
-        self.planner.used("h1", [site_messages.Use("e1", "b", "", 1)])
+        self.planner.replace_uses("h1", [site_messages.Use("e1", "b", "", 1)])
         self._request("c")
-        await self._until(lambda: self.planner.closing("e1"))
-        closing = self.planner.closing("e1")
+        await self._until(lambda: self.planner.closing_models("e1"))
+        closing = self.planner.closing_models("e1")
         self.planner.set_targets((), set(), complete=False)
-        self.assertEqual(self.planner.closing("e1"), closing)
-        self.planner.used("h1", [])
+        self.assertEqual(self.planner.closing_models("e1"), closing)
+        self.planner.replace_uses("h1", [])
         await self._until(lambda: "c" in engine.loaded)
 
     async def test_removed_target_gets_no_orders(self):
@@ -271,7 +271,7 @@
         closing = []
         receive_order = engine.receive_order
         engine.receive_order = lambda order: (
-            closing.append(self.planner.closing("e1")),
+            closing.append(self.planner.closing_models("e1")),
             receive_order(order),
         )[1]
         self._request("c")
@@ -287,11 +287,11 @@
         engine = Engine("e1", "ab")
         self._start(engine)
         uses = [site_messages.Use("e1", model, "", 1) for model in "ab"]
-        self.planner.used("h1", uses)
+        self.planner.replace_uses("h1", uses)
         self._request("c")
-        await self._until(lambda: self.planner.closing("e1"))
+        await self._until(lambda: self.planner.closing_models("e1"))
         self.assertEqual(engine.orders, [])
-        self.planner.used("h1", ())
+        self.planner.replace_uses("h1", ())
         await self._until(lambda: "c" in engine.loaded)
 
     async def test_unanswered_load_is_not_executed_twice(self):
@@ -358,7 +358,7 @@
         crashed, healthy = Engine("e1", "a"), Engine("e2", "b")
         self._start(crashed, healthy)
         for host in ("h1", "h2"):
-            self.planner.failed(host, ["e1"])
+            self.planner.replace_failing_targets(host, ["e1"])
         self._request("a")
         await self._until(lambda: "a" in healthy.loaded)
 
@@ -377,9 +377,9 @@
             self.fake.engines["e2"] = idle
             idle.report = lambda: self._report(idle)
             uses = [site_messages.Use("e1", m, "", 9) for m in "ab"]
-            self.planner.used("h1", uses)
+            self.planner.replace_uses("h1", uses)
             self._request("c")
-            await self._until(lambda: self.planner.coming("e1"))
+            await self._until(lambda: self.planner.pending_loads("e1"))
             self.numbers["e2"] = 0
             self._report(idle)
             await self._until(lambda: "c" in idle.loaded)
@@ -392,9 +392,9 @@
         """
         engines = Engine("e1", "a"), Engine("e2", "b")
         self._start(*engines)
-        self.planner.failed("h1", ["e1", "e2"])
+        self.planner.replace_failing_targets("h1", ["e1", "e2"])
         for host in ("h2", "h3"):
-            self.planner.failed(host, [])
+            self.planner.replace_failing_targets(host, [])
         self._request("a")
         for _ in range(50):
             await asyncio.sleep(0.002)
@@ -429,7 +429,7 @@
             name = f"x{number}"
             self._request("a", name)
             await self._until(lambda name=name: f"a/{name}" in engine.adapters)
-            self.planner.demanded("h1", ())
+            self.planner.replace_demand("h1", ())
         self.assertFalse(engine.crashed)
 
     async def test_adapter_is_loaded_elsewhere_if_engine_is_busy(self):
--- a/tests/test_unserved_models.py
+++ b/tests/test_unserved_models.py
@@ -24,7 +24,7 @@
     of the protection of a model that was loaded recently.
     """
     at_once = max(1, engines // plan_lib._OVERDUE_ENGINES_DIVISOR)
-    load = 2 * STEP_SECONDS + planner_lib._UNUSED_SECONDS
+    load = 2 * STEP_SECONDS + planner_lib._UNUSED_PIN_SECONDS
     return plan_lib._DISK_COPY_WAIT_SECONDS + math.ceil(models / at_once) * load
 
 
@@ -45,7 +45,7 @@
     site.start()
     seconds = 50.0
     callers = [
-        placement_site.ask(
+        placement_site.start_requests(
             site, model=name, rate=rate, seconds=seconds, seed=seed, burst=burst
         )
         for names, rate, burst in ((busy, 3.0, 2), (rare, 0.25, 1))
@@ -70,7 +70,7 @@
     seconds = 30.0
     rates = {f"a{n}": rate for n in range(4)} | {"a4": 0.4, "a5": 0.4}
     callers = [
-        placement_site.ask(
+        placement_site.start_requests(
             site,
             model="m",
             adapter=name,
@@ -87,19 +87,19 @@
 
 async def _replace_lease_holder(site):
     await asyncio.sleep(20.0)
-    await site.replace_holder(pause=4.0)
+    await site.replace_planner(pause=4.0)
 
 
 class RareModelsTest(unittest.TestCase):
     def _check(self, seed, **fields):
         with virtual_time.running() as runner:
             site = runner.run(_run_rare_models(seed, **fields))
-        requested, never_served = site.never_served()
+        requested, never_served = site.sustained_and_unserved()
         self.assertFalse(any(engine.crashed for engine in site.engines))
         self.assertGreater(len(requested), 15)
         self.assertLessEqual(
             len(never_served),
-            placement_site.allowed_never(len(requested)),
+            placement_site.max_never_served(len(requested)),
             f"seed {seed}: never served {never_served}",
         )
 
@@ -125,7 +125,7 @@
     )
     site.start()
     callers = [
-        placement_site.ask(
+        placement_site.start_requests(
             site, model=name, rate=1.0, seconds=seconds, seed=seed
         )
         for name in names
@@ -133,7 +133,7 @@
 
     async def replace_lease_holder():
         await asyncio.sleep(lost_at)
-        await site.replace_holder(pause=HOLDER_PAUSE_SECONDS)
+        await site.replace_planner(pause=HOLDER_PAUSE_SECONDS)
 
     await asyncio.gather(*callers, replace_lease_holder())
     longest = max(site.longest_unserved(name, clock.now()) for name in names)
@@ -177,7 +177,7 @@
         """Guards against adapters that never get a place on their engine."""
         for seed in range(6):
             site = self._run_site(seed, rate=8.0)
-            _, never_served = site.never_served()
+            _, never_served = site.sustained_and_unserved()
             self.assertEqual([], never_served, f"seed {seed}")
             self.assertFalse(site.engines[0].crashed, f"seed {seed}")
 
