--- a/packages/endivestream/src/endivestream/process/leader.py
+++ b/packages/endivestream/src/endivestream/process/leader.py
@@ -20,9 +20,9 @@
 from endivestream.connection import exchange as exchange_lib
 from endivestream.process import dispatcher as dispatcher_lib
 from endivestream.process import limiter as limiter_lib
+from endivestream.process import membership_manager as membership_manager_lib
 from endivestream.process import placer as placer_lib
 from endivestream.process import settings as settings_lib
-from endivestream.process import steward as steward_lib
 from endivestream.version import calls as calls_lib
 from endivestream.version import configuration as configuration_lib
 from endivestream.version import credit as credit_lib
@@ -72,7 +72,7 @@
             loads_at_once=settings.weight_store.loads_at_once,
             loads_per_second=settings.weight_store.loads_per_second,
         )
-        self.steward = steward_lib.Steward(
+        self.membership_manager = membership_manager_lib.MembershipManager(
             replicator=replicator,
             wanted=settings.peers.voters,
             replace_seconds=settings.peers.replace_voter_seconds,
@@ -92,13 +92,13 @@
         self.dispatcher.set_teams(teams)
         self.dispatcher.start()
         self.placer.start()
-        self.steward.start()
+        self.membership_manager.start()
         self._tasks = [asyncio.create_task(self._sweep())]
 
     async def close(self) -> None:
         """Stops; requests that still wait end at their own deadlines."""
         await tasks.cancel((*self._tasks, *self._push_tasks))
-        await self.steward.close()
+        await self.membership_manager.close()
         await self.placer.close()
         await self.dispatcher.close()
         await self.limiter.close()
@@ -231,10 +231,10 @@
                 unknown = self.dispatcher.report(reports)
                 return messages.Known(unknown=unknown)
             case messages.Join(member=member):
-                self.steward.join(member)
+                self.membership_manager.join(member)
                 return messages.Noted()
             case messages.RemoveVoter(name=name):
-                reason = self.steward.remove(name)
+                reason = self.membership_manager.remove(name)
                 return messages.Known(unknown=[], reason=reason)
             case messages.DrainTarget(name=name, draining=draining):
                 return self._drain_target(name, draining)
--- a/packages/endivestream/src/endivestream/process/steward.py
+++ b/packages/endivestream/src/endivestream/process/membership_manager.py
@@ -40,7 +40,7 @@
     members: members_lib.Members
 
 
-class Steward:
+class MembershipManager:
     """Makes membership changes, one at a time."""
 
     def __init__(
--- a/packages/endivestream/src/endivestream/process/site_control.py
+++ b/packages/endivestream/src/endivestream/process/site_control.py
@@ -35,7 +35,7 @@
 _ANSWER_TIMEOUT_SECONDS = 0.9
 _APPLY_TIMEOUT_SECONDS = 1.5
 # Interval between checks of a disk that is not writable.
-_DISK_SECONDS = 0.3
+_DISK_CHECK_INTERVAL_SECONDS = 0.3
 
 
 class SiteControl:
@@ -136,7 +136,7 @@
                 if not is_refused:
                     logs.warn("disk_refuses", folder=folder, why=error)
                 is_refused = True
-                await asyncio.sleep(_DISK_SECONDS)
+                await asyncio.sleep(_DISK_CHECK_INTERVAL_SECONDS)
                 continue
             if is_refused:
                 logs.event("disk_writes_again", folder=folder)
@@ -179,7 +179,7 @@
         )
         return isinstance(answer, site_messages.Registered)
 
-    async def leave(self, name: str) -> bool:
+    async def deregister(self, name: str) -> bool:
         """Forwards a deregistration; returns whether the leader has it."""
         answer = await self._control.call(
             site_messages.Deregister(name=name), seconds=_ANSWER_TIMEOUT_SECONDS
--- a/packages/endivestream/src/endivestream/process/site_leader.py
+++ b/packages/endivestream/src/endivestream/process/site_leader.py
@@ -26,9 +26,9 @@
 from endivestream.process import confirmations as confirmations_lib
 from endivestream.process import control as control_lib
 from endivestream.process import credit_allocator as credit_allocator_lib
+from endivestream.process import membership_manager as membership_manager_lib
 from endivestream.process import planner_lease_manager
 from endivestream.process import site_settings
-from endivestream.process import steward as steward_lib
 from endivestream.process import table_updates
 from endivestream.request import rate_limits as rate_limits_lib
 from endivestream.request import repeats as repeats_lib
@@ -105,7 +105,7 @@
         self._retry_budgets: dict[str, repeats_lib.SharedRepeatBudget] = {}
         self._rate_limits = rate_limits_lib.RateLimits()
         self._send_slots = send_slots.SendSlots(now=self._started_at)
-        self._steward = steward_lib.Steward(
+        self._membership_manager = membership_manager_lib.MembershipManager(
             replicator=leader_context.replicator,
             wanted=settings.voters,
             replace_seconds=_REPLACE_VOTER_SECONDS,
@@ -154,7 +154,7 @@
         """Starts leading with the replicated state as it is now."""
         if self._document is not None:
             self._set_teams(self._document, start_full=False)
-        self._steward.start()
+        self._membership_manager.start()
         self._table_updates.start()
         self._tasks = [tasks.start(self._sweep(), "sweep")]
 
@@ -162,7 +162,7 @@
         """Stops; requests that still wait end at their own deadlines."""
         await tasks.cancel((*self._tasks, *self._push_tasks))
         await self._table_updates.close()
-        await self._steward.close()
+        await self._membership_manager.close()
 
     def applied(
         self, command: state_lib.Command, result: state_lib.Result
@@ -244,7 +244,7 @@
                 await self._deregister(name)
                 return site_messages.Registered()
             case messages.Join(member=member):
-                self._steward.join(member)
+                self._membership_manager.join(member)
                 return messages.Noted()
             case _:
                 logs.warn("unexpected_message", message=type(message).__name__)
--- a/tests/test_entry_site.py
+++ b/tests/test_entry_site.py
@@ -385,7 +385,9 @@
                 raise OSError(28, "no space left")
 
         with (
-            mock.patch.object(site_control, "_DISK_SECONDS", 0.001),
+            mock.patch.object(
+                site_control, "_DISK_CHECK_INTERVAL_SECONDS", 0.001
+            ),
             mock.patch.object(storage, "check_writable", refuse_writes),
         ):
             await self._start_control(peer)
@@ -431,7 +433,7 @@
     async def _deregister(self):
         control = list(self.controls.values())[-1]
         async with asyncio.timeout(30):
-            while not await control.leave("t1"):
+            while not await control.deregister("t1"):
                 await asyncio.sleep(0.005)
 
     async def test_deregistration_at_new_leader_removes_target(self):
--- a/tests/test_steward.py
+++ b/tests/test_membership_manager.py
@@ -1,6 +1,6 @@
 import unittest
 
-from endivestream.process import steward as steward_lib
+from endivestream.process import membership_manager as membership_manager_lib
 from endivestream.version import members as members_lib
 
 
@@ -9,7 +9,7 @@
 
 
 class _Replica:
-    """Fake replica with the state that the steward reads."""
+    """Fake replica with the state that the membership manager reads."""
 
     def __init__(self, members):
         self.members = members
@@ -35,12 +35,12 @@
         return True
 
 
-class StewardTest(unittest.TestCase):
+class MembershipManagerTest(unittest.TestCase):
     def setUp(self):
         members = members_lib.Members(tuple(map(_member, "abc")))
         self.replicator = _Replicator(members)
         self.replica = self.replicator.replica
-        self.steward = steward_lib.Steward(
+        self.membership_manager = membership_manager_lib.MembershipManager(
             replicator=self.replicator, wanted=3, replace_seconds=600.0
         )
 
@@ -53,14 +53,14 @@
 
     def _run_rounds(self, count=1):
         for _ in range(count):
-            self.steward._change_members()
+            self.membership_manager._change_members()
 
     def test_short_silence_replaces_no_voter(self):
         """Guards against removing a voter for a short silence.
 
         A suspected failure starts an election only.
         """
-        self.steward.join(_member("d"))
+        self.membership_manager.join(_member("d"))
         self.replica.silent["id-b"] = 599.0
         self._run_rounds(5)
         self.assertEqual(self._names(), ("abc", "d"))
@@ -70,7 +70,7 @@
 
         The learner may be promoted only once it has caught up.
         """
-        self.steward.join(_member("d"))
+        self.membership_manager.join(_member("d"))
         self.replica.behind["id-d"] = 900
         self.replica.silent["id-b"] = 601.0
         self._run_rounds(5)
@@ -86,7 +86,7 @@
 
         It joins under its name with a new identity.
         """
-        self.steward.join(_member("b", "id-b2"))
+        self.membership_manager.join(_member("b", "id-b2"))
         self.replica.silent["id-b"] = 30.0
         self._run_rounds(5)
         identities = [m.identity for m in self.replica.members.voters]
@@ -94,26 +94,28 @@
 
     def test_duplicate_host_name_replaces_no_healthy_voter(self):
         """Guards against a copied settings file that evicts a healthy voter."""
-        self.steward.join(_member("b", "id-b2"))
+        self.membership_manager.join(_member("b", "id-b2"))
         self._run_rounds(5)
         self.assertEqual(self._names(), ("abc", "b"))
 
     def test_operator_removes_voter_without_replacement(self):
         """Guards against a removal that waits for a learner."""
-        self.assertEqual(self.steward.remove("b"), "")
+        self.assertEqual(self.membership_manager.remove("b"), "")
         self._run_rounds()
         self.assertEqual(self._names(), ("ac", ""))
 
     def test_operator_cannot_remove_leader_or_unknown_voter(self):
         """Guards against removals of the leader and of mistyped names."""
-        self.assertIn("is the leader; stop it first", self.steward.remove("a"))
-        self.assertIn("unknown voter 'x'", self.steward.remove("x"))
+        self.assertIn(
+            "is the leader; stop it first", self.membership_manager.remove("a")
+        )
+        self.assertIn("unknown voter 'x'", self.membership_manager.remove("x"))
 
     def test_learner_without_join_requests_is_removed(self):
         """Guards against learners that stay members after their host failed."""
-        self.steward.join(_member("d"))
+        self.membership_manager.join(_member("d"))
         self._run_rounds()
-        self.steward._join_requests.clear()
+        self.membership_manager._join_requests.clear()
         self.replica.silent["id-d"] = 11.0
         self._run_rounds()
         self.assertEqual(self._names(), ("abc", ""))
