--- a/packages/endivestream/src/endivestream/process/callers.py
+++ b/packages/endivestream/src/endivestream/process/callers.py
@@ -275,7 +275,7 @@
     """`/v1/addresses`: hosts to which a caller should connect."""
 
     def get(self) -> None:
-        failure = self.gateway.lost_lease()
+        failure = self.gateway.lease_failure()
         if failure is not None:
             self.send_failure(failure)
             return
--- a/packages/endivestream/src/endivestream/process/freshness.py
+++ b/packages/endivestream/src/endivestream/process/configuration_freshness.py
@@ -24,7 +24,7 @@
 _RETRY_SECONDS = 0.05
 
 
-class Freshness:
+class ConfigurationFreshness:
     """Queries the newest version, created once when the process starts."""
 
     def __init__(
--- a/packages/endivestream/src/endivestream/process/daemon.py
+++ b/packages/endivestream/src/endivestream/process/daemon.py
@@ -37,7 +37,7 @@
 from endivestream.process import control as control_lib
 from endivestream.process import gateway as gateway_lib
 from endivestream.process import handlers
-from endivestream.process import home as home_lib
+from endivestream.process import home_gateway as home_gateway_lib
 from endivestream.process import inner
 from endivestream.process import metrics as metrics_lib
 from endivestream.process import settings as settings_lib
@@ -73,7 +73,7 @@
         self._pool = exchange_lib.Pool()
         self._control: control_lib.Control | None = None
         self._gateway: gateway_lib.Gateway | None = None
-        self._home: home_lib.Home | None = None
+        self._home_gateway: home_gateway_lib.HomeGateway | None = None
         self._servers: list[httpserver.HTTPServer] = []
         self._stop_requested = asyncio.Event()
         self._exit_status = EXIT_OK
@@ -148,8 +148,8 @@
             keys=keys,
         )
         self._gateway.start()
-        self._home = home_lib.Home(gateway=self._gateway)
-        self._home.start()
+        self._home_gateway = home_gateway_lib.HomeGateway(gateway=self._gateway)
+        self._home_gateway.start()
         parts = handlers.Parts(
             self._gateway,
             self._pool,
@@ -158,7 +158,9 @@
         )
         self._listen(callers.application(parts), caller_sockets)
         self._listen(
-            inner.application(gateway=self._gateway, home=self._home),
+            inner.application(
+                gateway=self._gateway, home_gateway=self._home_gateway
+            ),
             inner_sockets,
         )
         logs.event(
@@ -254,8 +256,8 @@
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(1.0):
                     await server.close_all_connections()
-        if self._home is not None:
-            await self._home.close()
+        if self._home_gateway is not None:
+            await self._home_gateway.close()
         if self._gateway is not None:
             await self._gateway.close()
         if self._control is not None:
--- a/packages/endivestream/src/endivestream/process/entry.py
+++ b/packages/endivestream/src/endivestream/process/entry.py
@@ -29,10 +29,10 @@
 from endivestream.connection import exchange as exchange_lib
 from endivestream.connection import links
 from endivestream.connection import watch as watch_lib
+from endivestream.process import configuration_freshness as freshness_lib
 from endivestream.process import entry_credit
 from endivestream.process import entry_rate_limits
 from endivestream.process import entry_repeats
-from endivestream.process import freshness as freshness_lib
 from endivestream.process import prefill_turn_service
 from endivestream.process import push_relay
 from endivestream.process import site_metrics
@@ -118,7 +118,7 @@
             domain=settings.domain,
             context=self._context,
             on_push=self._apply_push,
-            changed=self._watch.poke,
+            on_relay_changed=self._watch.poke,
             has_lease=lambda: self._watch.lease_until > clock.now(),
             meter=self._meter,
         )
@@ -131,7 +131,9 @@
                 meter=self._meter,
             )
         self._rate_limits = entry_rate_limits.EntryRateLimits(
-            limits=self._limits, watch=self._watch, changed=self._watch.poke
+            limits=self._limits,
+            watch=self._watch,
+            request_renewal=self._watch.poke,
         )
         self._metrics = site_metrics.EntryMetrics(
             running=lambda: self.running,
@@ -149,7 +151,7 @@
             share=lambda: 1 / max(1, len(self._entry_hosts)),
             can_finish=self._accepts,
         )
-        self._freshness = freshness_lib.Freshness(
+        self._freshness = freshness_lib.ConfigurationFreshness(
             watch=self._watch,
             version=lambda: self.version,
             wait_for_change=self._wait_for_change,
@@ -176,8 +178,8 @@
             target_assigned=self._on_target_found,
             model_idle=self._watch.poke,
             slot_freed=self._signal_change,
-            rate_limit_reported=self._rate_limits.heard,
-            acquire_send=self._rate_limits.permit,
+            rate_limit_reported=self._rate_limits.record_answer,
+            acquire_send=self._rate_limits.acquire_send,
             prefill_delay=self._prefill_turn_service.request_turn,
             record_metrics=self._metrics.observe,
         )
@@ -361,7 +363,7 @@
             case site_messages.AskTurn():
                 return self._prefill_turn_service.grant_turn(message)
             case site_messages.Follow():
-                return self._push_relay.answer(peer, message)
+                return self._push_relay.handle_follow(peer, message)
         logs.warn(
             "unexpected_message",
             message=type(message).__name__,
@@ -372,7 +374,7 @@
     def _apply_renewal(self, renewed: site_messages.Renewed) -> None:
         now = clock.now()
         self._credit_shares.record_answer(now)
-        self._rate_limits.reported()
+        self._rate_limits.mark_reported()
         for grant in renewed.grants:
             self._credit_shares.apply_grant(grant, now)
         if renewed.news is not None:
--- a/packages/endivestream/src/endivestream/process/entry_credit.py
+++ b/packages/endivestream/src/endivestream/process/entry_credit.py
@@ -7,7 +7,7 @@
 from endivestream import clock
 from endivestream import site_messages
 from endivestream.connection import watch as watch_lib
-from endivestream.process import credit_questions
+from endivestream.process import credit_requests
 from endivestream.request import credit_shares as credit_shares_lib
 from endivestream.request import forward_parts
 from endivestream.version import document as document_lib
@@ -35,7 +35,7 @@
         host: str,
     ) -> None:
         self._credit_shares = credit_shares
-        self._credit_requester = credit_questions.CreditRequester(
+        self._credit_requester = credit_requests.CreditRequester(
             watch=watch, host=host, on_unclaimed=self._return_unclaimed
         )
 
--- a/packages/endivestream/src/endivestream/process/entry_rate_limits.py
+++ b/packages/endivestream/src/endivestream/process/entry_rate_limits.py
@@ -42,18 +42,19 @@
         *,
         limits: rate_limits_lib.RateLimits,
         watch: watch_lib.Watch,
-        changed: Callable[[], None],
+        request_renewal: Callable[[], None],
     ) -> None:
         """Starts without any limits.
 
         Args:
             limits: The limits, shared with the selection of targets.
             watch: The session with the leader.
-            changed: Called when the leader should be notified immediately.
+            request_renewal: Called when the leader should be notified
+                immediately.
         """
         self._limits = limits
         self._watch = watch
-        self._notify_leader = changed
+        self._notify_leader = request_renewal
         self._hosts = 0
         self._shares: dict[str, send_slots.HostShare] = {}
         # Targets whose limits the next renewal must report.
@@ -76,7 +77,7 @@
         """Sets how many entry hosts share the limits."""
         self._hosts = hosts
 
-    def heard(
+    def record_answer(
         self, registration: registry_lib.Registration, text: str | None
     ) -> None:
         """Records the limit in an answer of a target.
@@ -126,7 +127,7 @@
         names = None if everything else self._reporting
         return self._limits.records(clock.now(), names)
 
-    def reported(self) -> None:
+    def mark_reported(self) -> None:
         """Marks limits as reported after the renewal was answered."""
         self._reporting = set()
         for name in self._shares.keys() - self._limits.rates.keys():
@@ -134,7 +135,7 @@
 
     # Sends.
 
-    async def permit(
+    async def acquire_send(
         self, registration: registry_lib.Registration, patience: float
     ) -> float | None:
         """Waits until a request may be sent to a target.
--- a/packages/endivestream/src/endivestream/process/gateway.py
+++ b/packages/endivestream/src/endivestream/process/gateway.py
@@ -157,7 +157,7 @@
         """
         return time.monotonic() < self._lease_until
 
-    def lost_lease(self) -> findings.Failure | None:
+    def lease_failure(self) -> findings.Failure | None:
         """Returns why requests are refused, or None if they are accepted."""
         if self.leased:
             return None
@@ -237,7 +237,7 @@
 
     async def _renew(self) -> None:
         sent_at = time.monotonic()
-        answer = await self.ask(
+        answer = await self.request_leader(
             messages.Watch(
                 host=self.host,
                 have=self._view.version,
@@ -299,7 +299,7 @@
         ):
             self._renewal_due.set()
 
-    async def ask(
+    async def request_leader(
         self,
         message: messages.Message,
         *,
@@ -328,7 +328,7 @@
         """Requests a team's credit; refused if no leader answers."""
         return await self._request_with_patience(message, message.patience)
 
-    async def ticket(
+    async def request_ticket(
         self, message: messages.AskTicket
     ) -> messages.Ticket | messages.Refused:
         """Requests a place on a target; refused if no leader answers."""
@@ -339,7 +339,7 @@
     ) -> Any:
         seconds = patience + self._settings.peers.request_seconds
         try:
-            return await self.ask(
+            return await self.request_leader(
                 message, seconds=seconds, answer_seconds=seconds
             )
         except links.LinkDownError as error:
@@ -355,7 +355,7 @@
         Raises:
             links.LinkDownError: No leader answered in time.
         """
-        answer = await self.ask(
+        answer = await self.request_leader(
             messages.Propose(command=command),
             seconds=self._settings.peers.request_seconds,
         )
@@ -363,7 +363,7 @@
             raise links.LinkDownError(f"unexpected answer {answer!r}")
         return answer.result
 
-    def propose_surely(self, command: state_lib.Command) -> None:
+    def propose_until_committed(self, command: state_lib.Command) -> None:
         """Queues a command and sends it until the leader has committed it.
 
         Only for idempotent commands, such as the end of a call.
@@ -371,7 +371,7 @@
         self._commands.append(command)
         self._completion_queued.set()
 
-    def end(self, ending: messages.Ending) -> None:
+    def complete_request(self, ending: messages.Ending) -> None:
         """Queues a completion, which is sent until the leader receives it.
 
         The leader then releases the request's unused credit and its place.
@@ -401,7 +401,7 @@
             del self._commands[0]
         batch = list(self._completions)
         if batch:
-            await self.ask(
+            await self.request_leader(
                 messages.Endings(endings=batch),
                 seconds=self._settings.peers.request_seconds,
             )
--- a/packages/endivestream/src/endivestream/process/handlers.py
+++ b/packages/endivestream/src/endivestream/process/handlers.py
@@ -126,7 +126,7 @@
 
     def check_key(self) -> configuration_lib.KeyRecord | findings.Failure:
         """Returns the caller's key, or why the request is refused."""
-        failure = self.gateway.lost_lease()
+        failure = self.gateway.lease_failure()
         if failure is not None:
             return failure
         header = self.request.headers.get("Authorization", "")
@@ -257,7 +257,7 @@
             finally:
                 cost = used()
         finally:
-            self.gateway.end(
+            self.gateway.complete_request(
                 messages.Ending(request=request, team=team, used=cost)
             )
 
--- a/packages/endivestream/src/endivestream/process/home.py
+++ b/packages/endivestream/src/endivestream/process/home_gateway.py
@@ -36,7 +36,7 @@
     last_report_at: float
 
 
-class Home:
+class HomeGateway:
     """Forwards the reports of targets whose home gateway is this host."""
 
     def __init__(self, *, gateway: gateway_lib.Gateway) -> None:
@@ -67,7 +67,7 @@
         Raises:
             links.LinkDownError: No leader answered.
         """
-        answer = await self._gateway.ask(
+        answer = await self._gateway.request_leader(
             messages.Announce(info=info),
             seconds=self._gateway.settings.peers.request_seconds,
         )
@@ -160,7 +160,7 @@
         ]
         if not reports:
             return []
-        answer = await self._gateway.ask(
+        answer = await self._gateway.request_leader(
             messages.Report(reports=reports),
             seconds=self._gateway.settings.peers.request_seconds,
         )
--- a/packages/endivestream/src/endivestream/process/inner.py
+++ b/packages/endivestream/src/endivestream/process/inner.py
@@ -16,7 +16,7 @@
 from endivestream.connection import addresses
 from endivestream.connection import links
 from endivestream.process import gateway as gateway_lib
-from endivestream.process import home as home_lib
+from endivestream.process import home_gateway as home_gateway_lib
 from endivestream.process import views
 from endivestream.version import configuration as configuration_lib
 from endivestream.version import rules as rules_lib
@@ -56,10 +56,13 @@
     """Base class of all routes on the inner address."""
 
     def initialize(
-        self, gateway: gateway_lib.Gateway, home: home_lib.Home, token: str
+        self,
+        gateway: gateway_lib.Gateway,
+        home_gateway: home_gateway_lib.HomeGateway,
+        token: str,
     ) -> None:
         self.gateway = gateway
-        self.home = home
+        self.home_gateway = home_gateway
         self._token = token
 
     def prepare(self) -> None:
@@ -103,7 +106,7 @@
         """
         seconds = self.gateway.settings.peers.request_seconds
         try:
-            return await self.gateway.ask(message, seconds=seconds)
+            return await self.gateway.request_leader(message, seconds=seconds)
         except links.LinkDownError as error:
             # The change may have been accepted nevertheless. The operator can
             # send it again with the same change id, which is idempotent.
@@ -166,7 +169,7 @@
             return None
         deadline = time.monotonic() + seconds
         while True:
-            answer = await self.gateway.ask(
+            answer = await self.gateway.request_leader(
                 messages.AskStatus(view="in_force", version=version),
                 seconds=self.gateway.settings.peers.request_seconds,
             )
@@ -304,7 +307,7 @@
             self.send_findings(422, "rejected", [what])
             return
         try:
-            refusal = await self.home.announce(info)
+            refusal = await self.home_gateway.announce(info)
         except links.LinkDownError as error:
             self.send_findings(503, "control_unreachable", [str(error)])
             return
@@ -326,7 +329,7 @@
         report = self.read_body(messages.TargetReport)
         if report is None:
             return
-        is_known = self.home.report(report)
+        is_known = self.home_gateway.report(report)
         self.finish(
             {
                 "announce_again": not is_known,
@@ -336,11 +339,11 @@
 
 
 def application(
-    *, gateway: gateway_lib.Gateway, home: home_lib.Home
+    *, gateway: gateway_lib.Gateway, home_gateway: home_gateway_lib.HomeGateway
 ) -> web.Application:
     """Returns the routes for operators and targets."""
     tokens = gateway.settings.tokens
-    shared = {"gateway": gateway, "home": home}
+    shared = {"gateway": gateway, "home_gateway": home_gateway}
     operator = {**shared, "token": tokens.operator}
     target = {**shared, "token": tokens.target}
     return web.Application(
--- a/packages/endivestream/src/endivestream/process/push_relay.py
+++ b/packages/endivestream/src/endivestream/process/push_relay.py
@@ -49,7 +49,7 @@
         domain: str,
         context: zmq.asyncio.Context,
         on_push: Callable[[messages.Message], None],
-        changed: Callable[[], None],
+        on_relay_changed: Callable[[], None],
         has_lease: Callable[[], bool],
         meter: loop_meter.LoopMeter | None = None,
     ) -> None:
@@ -60,7 +60,7 @@
             domain: This host's failure domain.
             context: The process's zmq context.
             on_push: Called with each message that a relay forwards.
-            changed: Called when this host's relay has changed.
+            on_relay_changed: Called when this host's relay has changed.
             has_lease: Returns whether this host holds a valid lease.
             meter: Records the time spent on messages.
         """
@@ -68,7 +68,7 @@
         self._domain = domain
         self._context = context
         self._on_push = on_push
-        self._on_relay_changed = changed
+        self._on_relay_changed = on_relay_changed
         self._has_lease = has_lease
         self._meter = meter
         self._domain_relays = relays_lib.select_relays((), domain)
@@ -112,7 +112,7 @@
             del self._followers[name]
         self._hosts_changed.set()
 
-    def answer(
+    def handle_follow(
         self, peer: bytes, message: site_messages.Follow
     ) -> site_messages.Following:
         """Answers a host that requests to follow this one."""
--- a/packages/endivestream/src/endivestream/process/site_control.py
+++ b/packages/endivestream/src/endivestream/process/site_control.py
@@ -65,7 +65,7 @@
             meter=self._meter,
         )
         self._planner_lease_holder = planner_lease_holder.PlannerLeaseHolder(
-            host=settings.machine,
+            host=settings.host_identity,
             settings=settings,
             engines=self._engines,
             call=self._control.call,
--- a/packages/endivestream/src/endivestream/process/site_leader.py
+++ b/packages/endivestream/src/endivestream/process/site_leader.py
@@ -112,7 +112,7 @@
             superseded_seconds=_REPLACE_VOTER_SECONDS,
         )
         self._lease_manager = planner_lease_manager.PlannerLeaseManager(
-            host=settings.machine,
+            host=settings.host_identity,
             replicator=leader_context.replicator,
             holder_pause_seconds=settings.bounds.lease,
             sessions=lambda: self._registry.sessions,
--- a/packages/endivestream/src/endivestream/process/site_settings.py
+++ b/packages/endivestream/src/endivestream/process/site_settings.py
@@ -90,7 +90,7 @@
     bounds: Bounds
 
     @property
-    def machine(self) -> str:
+    def host_identity(self) -> str:
         """The identity of this machine.
 
         A machine that replaces a lost one may have the same name, but listens
--- a/packages/endivestream/src/endivestream/request/attempts.py
+++ b/packages/endivestream/src/endivestream/request/attempts.py
@@ -85,7 +85,7 @@
         self._attempt_number += 1
         patience = self._work.deadline - time.monotonic()
         try:
-            answer = await self._gateway.ticket(
+            answer = await self._gateway.request_ticket(
                 messages.AskTicket(
                     request=self.name,
                     team=self._work.team,
@@ -111,7 +111,7 @@
             )
         # A host that was frozen or waited long must not start work under a
         # configuration that may be outdated. Started work may finish.
-        failure = None if may_have_started else self._gateway.lost_lease()
+        failure = None if may_have_started else self._gateway.lease_failure()
         if failure is not None:
             self.release_ticket(used=0)
             return failure
@@ -122,7 +122,7 @@
         self, *, used: int, failed: bool = False, answered: bool = False
     ) -> None:
         """Releases the ticket of the current attempt."""
-        self._gateway.end(
+        self._gateway.complete_request(
             messages.Ending(
                 request=self.name,
                 team="",
--- a/packages/endivestream/src/endivestream/request/service_calls.py
+++ b/packages/endivestream/src/endivestream/request/service_calls.py
@@ -133,7 +133,7 @@
             # The record may have been committed, but it permits only this
             # attempt to send, which it never will. "not run" is therefore
             # true, and the key is released.
-            self._gateway.propose_surely(self._end_command("not_run"))
+            self._gateway.propose_until_committed(self._end_command("not_run"))
             if isinstance(error, asyncio.CancelledError):
                 raise
             return findings.not_run(
@@ -161,7 +161,9 @@
             result = await self._send(repeatable=False)
         except asyncio.CancelledError:
             final_outcome = "unknown" if self._sent else "not_run"
-            self._gateway.propose_surely(self._end_command(final_outcome))
+            self._gateway.propose_until_committed(
+                self._end_command(final_outcome)
+            )
             raise
         if isinstance(result, Answer):
             end_command = self._end_command("done", result)
@@ -176,7 +178,7 @@
             # completion is committed.
             await self._gateway.propose(end_command)
         except links.LinkDownError:
-            self._gateway.propose_surely(end_command)
+            self._gateway.propose_until_committed(end_command)
         return result
 
     def _end_command(
--- a/tests/test_freshness.py
+++ b/tests/test_configuration_freshness.py
@@ -5,7 +5,7 @@
 
 from endivestream import clock
 from endivestream import site_messages
-from endivestream.process import freshness as freshness_lib
+from endivestream.process import configuration_freshness as freshness_lib
 
 from tests import virtual_time
 
@@ -35,12 +35,12 @@
         self.pokes += 1
 
 
-class FreshnessTest(unittest.TestCase):
+class ConfigurationFreshnessTest(unittest.TestCase):
     def _run(self, work):
         async def run():
             self.local_version = 3
             self.leader = Leader()
-            self.freshness = freshness_lib.Freshness(
+            self.freshness = freshness_lib.ConfigurationFreshness(
                 watch=self.leader,
                 version=lambda: self.local_version,
                 wait_for_change=asyncio.sleep,
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -194,7 +194,7 @@
                     at=0.0,
                 )
             )
-        answer = await control.ask(
+        answer = await control.request_leader(
             messages.Watch(
                 host=control.host,
                 have=1,
@@ -204,7 +204,7 @@
         )
         self.assertEqual(len(answer.update.keys), 302)
         view = configuration.ConfigurationView()
-        complete = await control.ask(
+        complete = await control.request_leader(
             messages.Watch(host=control.host, have=0, running=0), seconds=5
         )
         view.update(complete.update)
--- a/tests/test_limited_hosts.py
+++ b/tests/test_limited_hosts.py
@@ -64,7 +64,7 @@
         self._is_renewing = False
         self.limits = rate_limits_lib.RateLimits()
         self.sends = entry_rate_limits.EntryRateLimits(
-            limits=self.limits, watch=self, changed=self._renew_soon
+            limits=self.limits, watch=self, request_renewal=self._renew_soon
         )
 
     def _renew_soon(self):
@@ -105,7 +105,7 @@
         self._is_renewing = False
         if isinstance(answer, site_messages.Renewed):
             self._leader = leader
-            self.sends.reported()
+            self.sends.mark_reported()
             if answer.news is not None:
                 self.apply_update(answer.news)
 
@@ -121,7 +121,7 @@
         """Sends one request if the limit permits; otherwise sends none."""
         target = self._site.target
         registration = target.registration
-        if await self.sends.permit(registration, 1.0) is not None:
+        if await self.sends.acquire_send(registration, 1.0) is not None:
             return
         await self._wait_while_frozen()
         now = clock.now()
@@ -134,7 +134,9 @@
             return
         if rate is not None:
             self.limit_seen_at = min(self.limit_seen_at, clock.now())
-        self.sends.heard(registration, None if rate is None else str(rate))
+        self.sends.record_answer(
+            registration, None if rate is None else str(rate)
+        )
 
 
 class Site:
--- a/tests/test_planner_lease.py
+++ b/tests/test_planner_lease.py
@@ -197,7 +197,7 @@
         """
         original = test_site_planner.settings()
         replacement = original._replace(peers="tcp://10.0.0.2:1")
-        self.assertNotEqual(original.machine, replacement.machine)
+        self.assertNotEqual(original.host_identity, replacement.host_identity)
 
     async def test_each_feed_item_is_sent_once(self):
         """Guards against feed items that are lost or repeated.
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -232,7 +232,7 @@
     async def test_draining_target_gets_no_requests(self):
         engine = await self.add_engine("e1")
         await self.add_engine("e2")
-        answer = await self.control.gateway.ask(
+        answer = await self.control.gateway.request_leader(
             messages.DrainTarget(name="e1", draining=True), seconds=5
         )
         self.assertEqual(answer.reason, "")
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -88,7 +88,7 @@
         name = f"e{number}"
 
         async def answer(peer, message):
-            return self.relays[name].answer(peer, message)
+            return self.relays[name].handle_follow(peer, message)
 
         server = links.Server(
             address="tcp://127.0.0.1:*", handle=answer, context=self.context
@@ -102,7 +102,7 @@
             domain="a",
             context=self.context,
             on_push=self.received[name].append,
-            changed=self._changed,
+            on_relay_changed=self._changed,
             has_lease=lambda: self.has_lease,
         )
         self.relays[name].start()
