--- a/packages/endivestream/src/endivestream/process/site_control.py
+++ b/packages/endivestream/src/endivestream/process/site_control.py
@@ -21,9 +21,9 @@
 from endivestream.connection import exchange as exchange_lib
 from endivestream.connection import registry as registry_lib
 from endivestream.process import control as control_lib
-from endivestream.process import seat as seat_lib
+from endivestream.process import planner_lease_holder
 from endivestream.process import settings as settings_lib
-from endivestream.process import site_leading
+from endivestream.process import site_leader
 from endivestream.process import site_metrics
 from endivestream.process import site_settings
 from endivestream.version import document as document_lib
@@ -35,7 +35,7 @@
 _ANSWER_TIMEOUT_SECONDS = 0.9
 _APPLY_TIMEOUT_SECONDS = 1.5
 # Interval between checks of a disk that is not writable.
-_DISK_SECONDS = 0.3
+_DISK_CHECK_INTERVAL_SECONDS = 0.3
 
 
 class SiteControl:
@@ -58,14 +58,14 @@
             context=self._context,
             pool=self._pool,
             on_failed=on_failed,
-            lead=self._make_leading,
+            leader_factory=self._create_leader_role,
             new_identity=_founder_identity(settings.peers)
             if settings.first_start
             else "",
             meter=self._meter,
         )
-        self._planner_lease = seat_lib.Seat(
-            host=settings.machine,
+        self._planner_lease_holder = planner_lease_holder.PlannerLeaseHolder(
+            host=settings.host_identity,
             settings=settings,
             engines=self._engines,
             call=self._control.call,
@@ -80,7 +80,7 @@
             departed=lambda: len(
                 self._control.replicator.state.departures.born
             ),
-            unplaced=lambda: self._planner_lease.unplaced,
+            unplaced=lambda: self._planner_lease_holder.unplaced_models,
             meter=self._meter,
         )
 
@@ -89,9 +89,13 @@
         """Metrics of this host; readable after `start`."""
         return self._metrics
 
-    def _make_leading(self, lead: control_lib.Lead) -> control_lib.Leading:
-        return site_leading.SiteLeading(
-            settings=self._settings, lead=lead, meter=self._meter
+    def _create_leader_role(
+        self, leader_context: control_lib.LeaderContext
+    ) -> control_lib.LeaderRole:
+        return site_leader.SiteLeader(
+            settings=self._settings,
+            leader_context=leader_context,
+            meter=self._meter,
         )
 
     async def start(self) -> None:
@@ -113,7 +117,7 @@
             and self._settings.peers in self._settings.controls,
             founders=founders,
         )
-        self._planner_lease.start()
+        self._planner_lease_holder.start()
 
     async def _wait_until_writable(self) -> None:
         """Waits until the disk is writable.
@@ -132,7 +136,7 @@
                 if not is_refused:
                     logs.warn("disk_refuses", folder=folder, why=error)
                 is_refused = True
-                await asyncio.sleep(_DISK_SECONDS)
+                await asyncio.sleep(_DISK_CHECK_INTERVAL_SECONDS)
                 continue
             if is_refused:
                 logs.event("disk_writes_again", folder=folder)
@@ -140,7 +144,7 @@
 
     async def close(self) -> None:
         """Transfers leadership and stops."""
-        await self._planner_lease.close()
+        await self._planner_lease_holder.close()
         await self._control.close()
         await self._meter.close()
         self._pool.close()
@@ -175,7 +179,7 @@
         )
         return isinstance(answer, site_messages.Registered)
 
-    async def leave(self, name: str) -> bool:
+    async def deregister(self, name: str) -> bool:
         """Forwards a deregistration; returns whether the leader has it."""
         answer = await self._control.call(
             site_messages.Deregister(name=name), seconds=_ANSWER_TIMEOUT_SECONDS
--- a/packages/endivestream/src/endivestream/process/site_leading.py
+++ b/packages/endivestream/src/endivestream/process/site_leader.py
@@ -26,9 +26,9 @@
 from endivestream.process import confirmations as confirmations_lib
 from endivestream.process import control as control_lib
 from endivestream.process import credit_allocator as credit_allocator_lib
+from endivestream.process import membership_manager as membership_manager_lib
 from endivestream.process import planner_lease_manager
 from endivestream.process import site_settings
-from endivestream.process import steward as steward_lib
 from endivestream.process import table_updates
 from endivestream.request import rate_limits as rate_limits_lib
 from endivestream.request import repeats as repeats_lib
@@ -77,23 +77,26 @@
     reported_teams: frozenset[str] = frozenset()
 
 
-class SiteLeading:
+class SiteLeader:
     """The leader's state and message handlers for one term of leadership."""
 
     def __init__(
         self,
         *,
         settings: site_settings.SiteSettings,
-        lead: control_lib.Lead,
+        leader_context: control_lib.LeaderContext,
         meter: loop_meter.LoopMeter | None = None,
     ) -> None:
         self._settings = settings
         self._meter = meter or loop_meter.LoopMeter()
-        self._replicator = lead.replicator
+        self._replicator = leader_context.replicator
         self._started_at = clock.now()
         self._is_table_complete = False
         self._registry = registry_lib.Registry()
-        for name, started_at in lead.replicator.state.departures.born.items():
+        for (
+            name,
+            started_at,
+        ) in leader_context.replicator.state.departures.born.items():
             self._registry.leave(name, self._started_at, started_at)
         self._silent_targets: set[str] = set()
         self._sessions: dict[str, _EntryHostSession] = {}
@@ -102,37 +105,39 @@
         self._retry_budgets: dict[str, repeats_lib.SharedRepeatBudget] = {}
         self._rate_limits = rate_limits_lib.RateLimits()
         self._send_slots = send_slots.SendSlots(now=self._started_at)
-        self._steward = steward_lib.Steward(
-            replicator=lead.replicator,
+        self._membership_manager = membership_manager_lib.MembershipManager(
+            replicator=leader_context.replicator,
             wanted=settings.voters,
             replace_seconds=_REPLACE_VOTER_SECONDS,
             superseded_seconds=_REPLACE_VOTER_SECONDS,
         )
         self._lease_manager = planner_lease_manager.PlannerLeaseManager(
-            host=settings.machine,
-            replicator=lead.replicator,
-            pause=settings.bounds.lease,
+            host=settings.host_identity,
+            replicator=leader_context.replicator,
+            holder_pause_seconds=settings.bounds.lease,
             sessions=lambda: self._registry.sessions,
-            changed=self._targets_changed,
+            on_targets_changed=self._targets_changed,
         )
         self._tasks: list[asyncio.Task[None]] = []
-        self._push = lead.push
+        self._push = leader_context.push
         self._push_tasks: set[asyncio.Task[None]] = set()
         self._loads_pushed_at = self._started_at
         self._table_updates = table_updates.TableUpdates(
-            term=lead.replicator.term,
-            push=lead.push,
+            term=leader_context.replicator.term,
+            push=leader_context.push,
             peers=lambda: [s.peer for s in self._sessions.values()],
             direct_peers=lambda: [
                 s.peer for s in self._sessions.values() if not self._relay_of(s)
             ],
-            target=self._table_entry,
-            whole=self._full_table,
-            limits=lambda names: self._rate_limits.records(clock.now(), names),
+            table_entry=self._table_entry,
+            full_table=self._full_table,
+            rate_limits=lambda names: self._rate_limits.records(
+                clock.now(), names
+            ),
         )
         self._confirmations = confirmations_lib.Confirmations(
             lease=settings.lease_seconds,
-            version=lead.replicator.state.document.version,
+            version=leader_context.replicator.state.document.version,
             positions=lambda: [s.position for s in self._sessions.values()],
         )
 
@@ -148,8 +153,8 @@
     def start(self) -> None:
         """Starts leading with the replicated state as it is now."""
         if self._document is not None:
-            self._set_teams(self._document, full=False)
-        self._steward.start()
+            self._set_teams(self._document, start_full=False)
+        self._membership_manager.start()
         self._table_updates.start()
         self._tasks = [tasks.start(self._sweep(), "sweep")]
 
@@ -157,7 +162,7 @@
         """Stops; requests that still wait end at their own deadlines."""
         await tasks.cancel((*self._tasks, *self._push_tasks))
         await self._table_updates.close()
-        await self._steward.close()
+        await self._membership_manager.close()
 
     def applied(
         self, command: state_lib.Command, result: state_lib.Result
@@ -174,14 +179,18 @@
                     routes=len(document.routes),
                     teams=len(document.teams),
                 )
-                self._set_teams(document, full=True)
-                self._confirmations.committed(document.version, self._sessions)
+                self._set_teams(document, start_full=True)
+                self._confirmations.note_committed(
+                    document.version, self._sessions
+                )
                 self._table_updates.push_document(document)
 
     def _set_teams(
-        self, document: document_lib.Document, *, full: bool
+        self, document: document_lib.Document, *, start_full: bool
     ) -> None:
-        self._credit_allocator.set_teams(document.teams, clock.now(), full=full)
+        self._credit_allocator.set_teams(
+            document.teams, clock.now(), start_full=start_full
+        )
 
     async def handle(
         self, peer: bytes, message: messages.Message
@@ -208,12 +217,12 @@
                 )
                 return None
             case site_messages.Missing():
-                self._lease_manager.missing(message)
+                self._lease_manager.forward_missing_models(message)
                 return None
             case site_messages.AskSeat():
-                return await self._lease_manager.ask(message)
+                return await self._lease_manager.handle_lease_request(message)
             case site_messages.TellNotices():
-                self._lease_manager.told(message)
+                self._lease_manager.store_placement_updates(message)
                 return site_messages.Registered()
             case site_messages.Apply(document=document):
                 return await self._apply(document)
@@ -229,13 +238,13 @@
                 if registration.draining:
                     await self._wait_for_departure(registration.name)
                 else:
-                    self._confirmations.stays(registration.name)
+                    self._confirmations.cancel_departure(registration.name)
                 return site_messages.Registered()
             case site_messages.Deregister(name=name):
                 await self._deregister(name)
                 return site_messages.Registered()
             case messages.Join(member=member):
-                self._steward.join(member)
+                self._membership_manager.join(member)
                 return messages.Noted()
             case _:
                 logs.warn("unexpected_message", message=type(message).__name__)
@@ -318,7 +327,7 @@
                 rate="none" if rate is None else rate,
                 told_by="host",
             )
-        self._lease_manager.set_limits(self._rate_limits.rates)
+        self._lease_manager.set_rate_limits(self._rate_limits.rates)
         # For a target that has not reported to this leader yet, the update
         # would list it as removed.
         reported = [name for name in changed if self._registry.find(name)]
@@ -329,12 +338,12 @@
         self, host: str, request: site_messages.CreditAsk
     ) -> site_messages.Grant:
         need = request.need
-        grant = self._credit_allocator.ask(
+        grant = self._credit_allocator.request_credit(
             host,
             need,
             clock.now(),
-            soon=request.soon,
-            patience=request.patience,
+            timely_within=request.soon,
+            max_wait_seconds=request.patience,
         )
         if grant is None:
             # This leader has no limit for the team (yet): credit is not short.
@@ -381,7 +390,7 @@
         await self._wait_for_departure(name)
 
     async def _wait_for_departure(self, name: str) -> None:
-        await self._confirmations.wait_for_leave(
+        await self._confirmations.wait_for_departure(
             name,
             self._table_updates.position,
             bound=self._settings.bounds.drain,
@@ -393,11 +402,11 @@
         changed = self._registry.note(registration, now)
         if not changed:
             return
-        self._lease_manager.reported(registration)
+        self._lease_manager.forward_report(registration)
         if self._rate_limits.remove_older_starts(
             registration.name, registration.born
         ):
-            self._lease_manager.set_limits(self._rate_limits.rates)
+            self._lease_manager.set_rate_limits(self._rate_limits.rates)
         if registration.name in self._silent_targets:
             self._silent_targets.discard(registration.name)
         elif previous is not None and _is_same_for_hosts(
@@ -427,7 +436,9 @@
         registration = msgspec.structs.replace(
             session.said, in_memory=(), on_disk=()
         )
-        placement_update = self._lease_manager.notice(registration.name)
+        placement_update = self._lease_manager.placement_update(
+            registration.name
+        )
         return site_messages.Target(
             said=registration,
             closing=placement_update.closing,
@@ -447,11 +458,11 @@
         )
         self._table_updates.record_targets(names)
 
-    def _full_table(self) -> table_updates.Table:
+    def _full_table(self) -> table_updates.TableSnapshot:
         targets = map(self._table_entry, self._registry.sessions)
-        return table_updates.Table(
+        return table_updates.TableSnapshot(
             targets=tuple(t for t in targets if t is not None),
-            gone=self._registry.departed,
+            removed=self._registry.departed,
             complete=self._is_table_complete,
         )
 
@@ -488,9 +499,9 @@
         # Before anything is pushed to this host: it may have limits that were
         # reported only to the previous leader.
         self._merge_rate_limits(message.limits)
-        self._lease_manager.renewed(message)
+        self._lease_manager.forward_demand(message)
         grants = [
-            self._credit_allocator.report(host.name, need, now)
+            self._credit_allocator.handle_report(host.name, need, now)
             for need in message.needs
         ]
         had_session = session is not None and session.peer == peer
@@ -508,8 +519,8 @@
             return messages.NotLeader(address="")
         document = self._document
         version = document.version if document else 0
-        update = self._table_updates.since(message.position)
-        since_push = clock.now() - self._confirmations.rollout_begun
+        update = self._table_updates.update_since(message.position)
+        since_push = clock.now() - self._confirmations.rollout_started_at
         is_push_in_flight = had_session and since_push < _PUSH_IN_FLIGHT_SECONDS
         if message.version < version and not is_push_in_flight:
             position = message.position
@@ -556,7 +567,7 @@
         session = self._sessions.get(host)
         if session is not None:
             session.position = max(session.position, position)
-        self._confirmations.confirmed(host, version)
+        self._confirmations.note_acknowledged(host, version)
 
     def _update_live_hosts(self, now: float) -> None:
         """Records a table change if the set of live entry hosts changed."""
@@ -599,7 +610,7 @@
         names = {self._relay_of(s) for s in self._sessions.values()}
         peers = [self._sessions[name].peer for name in names if name]
         if peers:
-            loads = site_messages.Loads(loads=self._lease_manager.all_loads())
+            loads = site_messages.Loads(loads=self._lease_manager.total_loads())
             task = tasks.start(self._push(peers, loads), "push_loads")
             self._push_tasks.add(task)
             task.add_done_callback(self._push_tasks.discard)
@@ -613,9 +624,9 @@
         for name, session in list(self._sessions.items()):
             if now - session.last_renewal > self._settings.lease_seconds:
                 del self._sessions[name]
-                self._confirmations.forget_host(name)
-                self._credit_allocator.forget(name)
-                self._lease_manager.forget_host(name)
+                self._confirmations.remove_host(name)
+                self._credit_allocator.remove_host(name)
+                self._lease_manager.remove_host(name)
                 logs.warn("entry_host_expired", peer=name)
 
     def _update_silent_targets(self, now: float) -> None:
@@ -623,8 +634,8 @@
         changed = self._registry.expire(now, silence=_TARGET_EXPIRY_SECONDS)
         sessions = self._registry.sessions
         known_names = {*sessions, *self._registry.departed}
-        self._table_updates.forget_all_but(known_names)
-        self._confirmations.forget_all_but(known_names)
+        self._table_updates.retain_targets(known_names)
+        self._confirmations.retain_targets(known_names)
         self._rate_limits.remove_stale(sessions.keys(), now)
         self._send_slots.forget(self._rate_limits.rates)
         for name, session in sessions.items():
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -194,7 +194,7 @@
                     at=0.0,
                 )
             )
-        answer = await control.ask(
+        answer = await control.request_leader(
             messages.Watch(
                 host=control.host,
                 have=1,
@@ -204,7 +204,7 @@
         )
         self.assertEqual(len(answer.update.keys), 302)
         view = configuration.ConfigurationView()
-        complete = await control.ask(
+        complete = await control.request_leader(
             messages.Watch(host=control.host, have=0, running=0), seconds=5
         )
         view.update(complete.update)
@@ -318,7 +318,7 @@
 
         The link failed while the charge waited, and the charge was sent again.
         """
-        limiter = self.control.control.leading.limiter
+        limiter = self.control.control.leader_role.limiter
         first = messages.Charge(
             team="band", request="all", tokens=100_000, patience=5.0
         )
@@ -340,9 +340,11 @@
         newer link. The earlier request for a place arrives after it.
         """
         await self.add_engine("e1")
-        dispatcher = self.control.control.leading.dispatcher
-        dispatcher.release(messages.Ending(request="r.1", team="", used=0))
-        answer = await dispatcher.ask(
+        dispatcher = self.control.control.leader_role.dispatcher
+        dispatcher.complete_request(
+            messages.Ending(request="r.1", team="", used=0)
+        )
+        answer = await dispatcher.request_ticket(
             messages.AskTicket(
                 request="r.1",
                 team="band",
@@ -367,7 +369,7 @@
             team="band", request="r", tokens=1, patience=1.0
         )
         leads = [True]
-        handle = control.leading.handle
+        handle = control.leader_role.handle
 
         async def handle_and_lose_lease(peer, message):
             answer = await handle(peer, message)
@@ -381,7 +383,7 @@
                 unittest.mock.PropertyMock(side_effect=lambda: leads[0]),
             ),
             unittest.mock.patch.object(
-                control.leading, "handle", handle_and_lose_lease
+                control.leader_role, "handle", handle_and_lose_lease
             ),
         ):
             answer = await control._handle(b"peer", charge)
