--- a/packages/endivestream/src/endivestream/connection/registry.py
+++ b/packages/endivestream/src/endivestream/connection/registry.py
@@ -79,11 +79,11 @@
     """A target's entry in the table.
 
     Attributes:
-        said: Newest registration of the target.
+        registration: Newest registration of the target.
         heard: Time at which that registration was received.
     """
 
-    said: Registration
+    registration: Registration
     heard: float
 
 
@@ -99,11 +99,11 @@
     born: int | None
     since: float
 
-    def covers(self, said: Registration) -> bool:
+    def covers(self, registration: Registration) -> bool:
         """Whether a registration is of the departed process."""
         if self.born is None:
-            return said.number > _FIRST_REPORTS
-        return said.born <= self.born
+            return registration.number > _FIRST_REPORTS
+        return registration.born <= self.born
 
 
 class Registry:
@@ -125,11 +125,11 @@
         """Returns the entry of a target, or None."""
         return self._sessions.get(name)
 
-    def note(self, said: Registration, now: float) -> list[str]:
+    def note(self, registration: Registration, now: float) -> list[str]:
         """Adds a registration to the table, unless it is outdated.
 
         Args:
-            said: The registration.
+            registration: The registration.
             now: The time.
 
         Returns:
@@ -137,26 +137,26 @@
             whose address it has taken over. Empty if the registration is
             outdated.
         """
-        gone = self._gone.get(said.name)
-        if gone is not None and gone.covers(said):
+        gone = self._gone.get(registration.name)
+        if gone is not None and gone.covers(registration):
             return []
-        known = self._sessions.get(said.name)
-        if known is not None and known.said.order >= said.order:
+        known = self._sessions.get(registration.name)
+        if known is not None and known.registration.order >= registration.order:
             return []
         rivals = [
-            session.said
+            session.registration
             for session in self._sessions.values()
-            if session.said.address == said.address
-            and session.said.name != said.name
+            if session.registration.address == registration.address
+            and session.registration.name != registration.name
         ]
-        if any(rival.born > said.born for rival in rivals):
+        if any(rival.born > registration.born for rival in rivals):
             # A report of a process that has ended, delayed by a network
             # partition; its address belongs to a newer process.
             return []
         for rival in rivals:
             self._forget(rival.name, now)
-        self._sessions[said.name] = Session(said, now)
-        return [said.name, *(rival.name for rival in rivals)]
+        self._sessions[registration.name] = Session(registration, now)
+        return [registration.name, *(rival.name for rival in rivals)]
 
     def leave(self, name: str, now: float, born: int | None = None) -> bool:
         """Removes a target that deregistered, and records its departure.
@@ -176,7 +176,7 @@
         if (
             session is not None
             and born is not None
-            and (session.said.born > born)
+            and (session.registration.born > born)
         ):
             return False
         if session is not None:
@@ -197,7 +197,7 @@
     def born(self, name: str) -> int | None:
         """Returns the start time of a target in the table, or None."""
         session = self._sessions.get(name)
-        return session.said.born if session else None
+        return session.registration.born if session else None
 
     def expire(self, now: float, *, silence: float) -> list[str]:
         """Removes targets without a recent report and returns their names.
@@ -218,11 +218,11 @@
                 del self._gone[name]
         return silent
 
-    def adopt(self, said: Iterable[Registration], now: float) -> None:
+    def adopt(self, registrations: Iterable[Registration], now: float) -> None:
         """Adds registrations from another host, unless they are outdated."""
-        for each in said:
+        for each in registrations:
             self.note(each, now)
 
     def _forget(self, name: str, now: float) -> None:
         session = self._sessions.pop(name)
-        self._gone[name] = _Gone(session.said.born, now)
+        self._gone[name] = _Gone(session.registration.born, now)
--- a/packages/endivestream/src/endivestream/process/entry.py
+++ b/packages/endivestream/src/endivestream/process/entry.py
@@ -393,7 +393,9 @@
         if news.document is not None:
             self._apply_document(news.document)
         self._apply_table(news)
-        has_departures = news.gone or any(t.said.draining for t in news.targets)
+        has_departures = news.gone or any(
+            t.registration.draining for t in news.targets
+        )
         needs_confirmation = has_departures or news.document is not None
         if needs_confirmation and before != (self.version, self._position):
             # The change is acknowledged to its author or target only after
@@ -417,14 +419,14 @@
         self._position = news.position
         removed = list(news.gone)
         if news.after is None and news.complete:
-            listed = {target.said.name for target in news.targets}
+            listed = {target.registration.name for target in news.targets}
             now = clock.now()
             for name in self._view.targets.keys() - listed:
                 self._unlisted_since.setdefault(name, now)
             for name in listed:
                 self._unlisted_since.pop(name, None)
         for target in news.targets:
-            self._unlisted_since.pop(target.said.name, None)
+            self._unlisted_since.pop(target.registration.name, None)
         self._view.set_targets(news.targets, removed, clock.now())
         self._limits.remove_stale(self._view.targets.keys(), clock.now())
         if news.entries is not None:
--- a/packages/endivestream/src/endivestream/process/planner_lease_holder.py
+++ b/packages/endivestream/src/endivestream/process/planner_lease_holder.py
@@ -196,7 +196,7 @@
             case site_messages.FedGone(host=host):
                 self._known_hosts.discard(host)
                 planner.remove_host(host)
-            case site_messages.FedReport(said=registration):
+            case site_messages.FedReport(registration=registration):
                 planner.apply_report(registration)
             case site_messages.FedLimits(rates=rates):
                 planner.set_rate_limits(rates)
--- a/packages/endivestream/src/endivestream/process/planner_lease_manager.py
+++ b/packages/endivestream/src/endivestream/process/planner_lease_manager.py
@@ -104,7 +104,7 @@
 
     def forward_report(self, registration: registry_lib.Registration) -> None:
         """Forwards a target's report."""
-        self._append(site_messages.FedReport(said=registration))
+        self._append(site_messages.FedReport(registration=registration))
 
     def set_targets(self, silent: Iterable[str], *, complete: bool) -> None:
         """Forwards the list of targets.
@@ -244,7 +244,7 @@
     def _full_feed(self) -> list[site_messages.Fed]:
         """Returns the full feed for a holder without state."""
         reports = [
-            site_messages.FedReport(said=session.said)
+            site_messages.FedReport(registration=session.registration)
             for session in self._sessions().values()
         ]
         return [
--- a/packages/endivestream/src/endivestream/process/site_control.py
+++ b/packages/endivestream/src/endivestream/process/site_control.py
@@ -174,7 +174,7 @@
     async def register(self, registration: registry_lib.Registration) -> bool:
         """Forwards a target's report; returns whether the leader has it."""
         answer = await self._control.call(
-            site_messages.Register(said=registration),
+            site_messages.Register(registration=registration),
             seconds=_ANSWER_TIMEOUT_SECONDS,
         )
         return isinstance(answer, site_messages.Registered)
--- a/packages/endivestream/src/endivestream/process/site_leader.py
+++ b/packages/endivestream/src/endivestream/process/site_leader.py
@@ -233,7 +233,7 @@
                 current = self._document
                 source = current.source if current else b""
                 return site_messages.DocumentRead(source=source)
-            case site_messages.Register(said=registration):
+            case site_messages.Register(registration=registration):
                 self._register(registration)
                 if registration.draining:
                     await self._wait_for_departure(registration.name)
@@ -410,10 +410,13 @@
         if registration.name in self._silent_targets:
             self._silent_targets.discard(registration.name)
         elif previous is not None and _is_same_for_hosts(
-            previous.said, registration
+            previous.registration, registration
         ):
             changed.remove(registration.name)
-        if previous is None or previous.said.draining != registration.draining:
+        if (
+            previous is None
+            or previous.registration.draining != registration.draining
+        ):
             logs.event(
                 "target",
                 target=registration.name,
@@ -434,13 +437,13 @@
         # Only placement uses the location of weights; leaving it out makes
         # pushes smaller.
         registration = msgspec.structs.replace(
-            session.said, in_memory=(), on_disk=()
+            session.registration, in_memory=(), on_disk=()
         )
         placement_update = self._lease_manager.placement_update(
             registration.name
         )
         return site_messages.Target(
-            said=registration,
+            registration=registration,
             closing=placement_update.closing,
             adapters=placement_update.adapters,
             silent=registration.name in self._silent_targets,
--- a/packages/endivestream/src/endivestream/request/forward.py
+++ b/packages/endivestream/src/endivestream/request/forward.py
@@ -303,7 +303,7 @@
         picked: target_selection.Selected,
     ) -> bool:
         """Waits for a rate-limited target; returns whether to send now."""
-        registration = picked.target.said
+        registration = picked.target.registration
         view = self._parts.view
         if not view.is_rate_limited(registration):
             return True
@@ -504,7 +504,7 @@
             or work.service.engine is None
         ):
             return False
-        registration = picked.target.said
+        registration = picked.target.registration
         rank = sending.priority(work)
         wait = await self._parts.prefill_delay(
             registration.name, registration.domain, work.prompt, rank
--- a/packages/endivestream/src/endivestream/request/sending.py
+++ b/packages/endivestream/src/endivestream/request/sending.py
@@ -172,7 +172,7 @@
         picked: target_selection.Selected,
     ) -> Result:
         """Makes one attempt and records its outcome in `progress`."""
-        registration = picked.target.said
+        registration = picked.target.registration
         view = self._view
         progress.target = registration.name
         progress.stage = "target"
--- a/packages/endivestream/src/endivestream/request/target_selection.py
+++ b/packages/endivestream/src/endivestream/request/target_selection.py
@@ -196,12 +196,15 @@
             now: Current time; remaining load times of models count from it.
         """
         for target in changed:
-            name = target.said.name
+            name = target.registration.name
             current = self._targets.get(name)
-            if current is not None and current.said.order > target.said.order:
+            if (
+                current is not None
+                and current.registration.order > target.registration.order
+            ):
                 continue
             restarted = current is not None and (
-                current.said.born != target.said.born
+                current.registration.born != target.registration.born
             )
             if restarted or name not in self._states:
                 previous = self._states.get(name, _TargetState())
@@ -225,7 +228,9 @@
                 del self._states[name]
         self._by_service = {}
         for name, target in self._targets.items():
-            self._by_service.setdefault(target.said.service, []).append(name)
+            self._by_service.setdefault(target.registration.service, []).append(
+                name
+            )
 
     def set_turn(self, target: str, when: float) -> None:
         """Records when an engine's turn owner grants the next prefill turn."""
@@ -273,12 +278,12 @@
     ) -> bool:
         """Returns whether a target selected earlier can still be used."""
         target = self._targets.get(registration.name)
-        if target is None or target.said.born != registration.born:
+        if target is None or target.registration.born != registration.born:
             return False
         has_model = not requirements.model or self._has_model(
             registration.name, requirements.model
         )
-        return has_model and not target.said.draining
+        return has_model and not target.registration.draining
 
     def pick(
         self, requirements: TargetRequirements, now: float, *, limit: int
@@ -296,7 +301,7 @@
         names = [
             name
             for name in self._by_service.get(requirements.service, ())
-            if not self._targets[name].said.draining
+            if not self._targets[name].registration.draining
             and name not in requirements.tried
         ]
         if not names:
@@ -336,7 +341,9 @@
         until = self._blocked_until.get(name)
         if until is None:
             return False
-        if until <= now or not self.is_rate_limited(self._targets[name].said):
+        if until <= now or not self.is_rate_limited(
+            self._targets[name].registration
+        ):
             del self._blocked_until[name]
             return False
         return True
@@ -356,7 +363,7 @@
     def _has_model(self, name: str, model: str) -> bool:
         target = self._targets[name]
         return (
-            any(loaded.model == model for loaded in target.said.loaded)
+            any(loaded.model == model for loaded in target.registration.loaded)
             and model not in target.closing
             and model not in self._states[name].denied_names
         )
@@ -371,7 +378,7 @@
         self, name: str, requirements: TargetRequirements, now: float
     ) -> bool:
         """Returns whether an engine should get one more request."""
-        slots = self._targets[name].said.slots
+        slots = self._targets[name].registration.slots
         share = 1.0
         if requirements.can_wait:
             share = _MAX_SLOT_SHARE - _SLOT_SHARE_PER_RANK * min(
@@ -409,7 +416,7 @@
         best, lowest_load, reason = "", float("inf"), ""
         for name in names:
             target, state = self._targets[name], self._states[name]
-            slots = max(1, target.said.slots)
+            slots = max(1, target.registration.slots)
             # Requests whose prompt is not processed yet count twice: they
             # delay the others.
             load = state.running + sum(state.starting.values()) + 1.0
@@ -418,7 +425,7 @@
                 0.0, state.next_turn_at - now
             )
             candidate_reason = "load"
-            if target.said.domain != self._domain:
+            if target.registration.domain != self._domain:
                 load += min(
                     _REMOTE_DOMAIN_REQUESTS, _REMOTE_DOMAIN_SLOT_SHARE * slots
                 )
@@ -427,10 +434,10 @@
             if requirements.session and name == last_target:
                 load -= _SESSION_AFFINITY_REQUESTS
                 candidate_reason = "session"
-            if target.said.warm_in > 0:
+            if target.registration.warm_in > 0:
                 load *= 2
             is_recent = self._limits.age(name, now) < _RATE_LIMIT_FRESH_SECONDS
-            if is_recent and self.is_rate_limited(target.said):
+            if is_recent and self.is_rate_limited(target.registration):
                 load += _RATE_LIMITED_REQUESTS
             if target.silent:
                 load += _SILENT_TARGET_REQUESTS
--- a/packages/endivestream/src/endivestream/site_messages.py
+++ b/packages/endivestream/src/endivestream/site_messages.py
@@ -138,7 +138,7 @@
     """A target as listed in the table that the leader sends to entry hosts.
 
     Attributes:
-        said: Newest registration of the target.
+        registration: Newest registration of the target.
         closing: Models about to be unloaded; they get no new requests.
         adapters: Loaded adapters as `MODEL/ADAPTER`, from the planner's own
             orders.
@@ -146,7 +146,7 @@
         coming: Models that the target is loading.
     """
 
-    said: registry_lib.Registration
+    registration: registry_lib.Registration = msgspec.field(name="said")
     closing: tuple[str, ...] = ()
     adapters: tuple[str, ...] = ()
     silent: bool = False
@@ -431,10 +431,10 @@
     """Planner feed item: a target's own report.
 
     Attributes:
-        said: Newest registration of the target.
+        registration: Newest registration of the target.
     """
 
-    said: registry_lib.Registration
+    registration: registry_lib.Registration = msgspec.field(name="said")
 
 
 class FedTargets(msgspec.Struct, frozen=True, kw_only=True, tag=True):
@@ -577,10 +577,10 @@
     """Forwards a target's report from a control host to the leader.
 
     Attributes:
-        said: Registration that the target sent.
+        registration: Registration that the target sent.
     """
 
-    said: registry_lib.Registration
+    registration: registry_lib.Registration = msgspec.field(name="said")
 
 
 class Deregister(msgspec.Struct, frozen=True, kw_only=True, tag=True):
--- a/tests/leader_site.py
+++ b/tests/leader_site.py
@@ -213,7 +213,7 @@
             self.version_at[self.version] = clock.now()
         self._apply_table(update)
         has_departures = update.gone or any(
-            t.said.draining for t in update.targets
+            t.registration.draining for t in update.targets
         )
         if update.document is None and not has_departures:
             return
@@ -237,7 +237,7 @@
         ):
             return
         for target in update.targets:
-            self.targets[target.said.name] = target
+            self.targets[target.registration.name] = target
         for name in update.gone:
             self.targets.pop(name, None)
         self.position = update.position
@@ -403,13 +403,15 @@
         self._draining_targets.add(target)
         registration = self._registration(target)
         await self.leader_role.handle(
-            b"c1", site_messages.Register(said=registration)
+            b"c1", site_messages.Register(registration=registration)
         )
         return clock.now()
 
     async def report(self, target, *, loaded=()):
         registration = self._registration(target, loaded=loaded)
-        self.wire.deliver(b"c1", site_messages.Register(said=registration), 0)
+        self.wire.deliver(
+            b"c1", site_messages.Register(registration=registration), 0
+        )
 
     def _registration(self, target, *, loaded=()):
         self._reports += 1
--- a/tests/test_entry_site.py
+++ b/tests/test_entry_site.py
@@ -413,7 +413,9 @@
         entry = self.entries[0]
         await self._wait_until(lambda: "t1" in entry._view.targets)
         await self._register(draining=True, number=2)
-        await self._wait_until(lambda: entry._view.targets["t1"].said.draining)
+        await self._wait_until(
+            lambda: entry._view.targets["t1"].registration.draining
+        )
         reply = await self._send_request(entry)
         self.assertEqual(reply.status, 503)
         self.assertEqual(self.target.requests, [])
--- a/tests/test_forward.py
+++ b/tests/test_forward.py
@@ -181,7 +181,9 @@
             loaded=fields.pop("loaded", ()),
         )
         self.view.set_targets(
-            [site_messages.Target(said=registration, **fields)], [], clock.now()
+            [site_messages.Target(registration=registration, **fields)],
+            [],
+            clock.now(),
         )
 
     def _route(self, route, teams=(), engine=None):
@@ -955,7 +957,9 @@
             number=2,
             loaded=loaded,
         )
-        self.view.set_targets([site_messages.Target(said=registration)], [])
+        self.view.set_targets(
+            [site_messages.Target(registration=registration)], []
+        )
         self.assertEqual((await self.caller.reply()).status, 200)
 
     async def test_a_waiting_request_is_refused_when_its_host_stops(self):
--- a/tests/test_leader_load.py
+++ b/tests/test_leader_load.py
@@ -158,7 +158,8 @@
                 await asyncio.sleep(2 * every)
                 missing += sum(
                     "t1" not in host.targets
-                    or host.targets["t1"].said.loaded[0].model != f"m{number}"
+                    or host.targets["t1"].registration.loaded[0].model
+                    != f"m{number}"
                     for host in site.hosts
                     if not host.is_frozen
                 )
@@ -363,7 +364,7 @@
             isolated = site.hosts[7]
             isolated.is_cut_off = True
             confirmed_at = await site.drain_target("t1")
-            self.assertFalse(isolated.targets["t1"].said.draining)
+            self.assertFalse(isolated.targets["t1"].registration.draining)
             return isolated.lease_until - confirmed_at
 
         bounds = leader_site.SETTINGS.bounds
@@ -382,7 +383,10 @@
             started_at = site.loop.time()
             confirmed_at = await site.drain_target("t1")
             self.assertTrue(
-                all(host.targets["t1"].said.draining for host in site.hosts)
+                all(
+                    host.targets["t1"].registration.draining
+                    for host in site.hosts
+                )
             )
             return confirmed_at - started_at
 
--- a/tests/test_limited_hosts.py
+++ b/tests/test_limited_hosts.py
@@ -173,7 +173,8 @@
     async def report(self):
         if self.leader_role is not None:
             await self.leader_role.handle(
-                b"c1", site_messages.Register(said=self.target.registration)
+                b"c1",
+                site_messages.Register(registration=self.target.registration),
             )
 
     async def replace_leader(self, seconds):
--- a/tests/test_planner_lease.py
+++ b/tests/test_planner_lease.py
@@ -236,7 +236,9 @@
             for item in answer.items
             if isinstance(item, site_messages.FedReport)
         ]
-        self.assertEqual([registration], [item.said for item in reports])
+        self.assertEqual(
+            [registration], [item.registration for item in reports]
+        )
 
     async def test_an_outdated_placement_update_is_ignored(self):
         """Guards against requests for a model that is being unloaded.
@@ -537,7 +539,7 @@
         registration = registry_lib.Registration(
             name="t1", service="s", address="a", domain="d"
         )
-        report = site_messages.FedReport(said=registration)
+        report = site_messages.FedReport(registration=registration)
         for term in (1, 2):
             await self._put_answer(
                 position=site_messages.Position(term, 1),
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 
-def said(name="t1", born=1, number=1, **fields):
+def make_registration(name="t1", born=1, number=1, **fields):
     given = {"service": "s", "address": "10.0.0.1:80", "domain": "a"}
     return registry_lib.Registration(
         name=name, born=born, number=number, **(given | fields)
@@ -22,18 +22,22 @@
         An earlier report arrives through another host after the report with the
         drain.
         """
-        self.registry.note(said(number=5, draining=True), 1.0)
-        self.assertEqual(self.registry.note(said(number=4), 2.0), [])
-        self.assertTrue(self.registry.find("t1").said.draining)
+        self.registry.note(make_registration(number=5, draining=True), 1.0)
+        self.assertEqual(
+            self.registry.note(make_registration(number=4), 2.0), []
+        )
+        self.assertTrue(self.registry.find("t1").registration.draining)
 
     def test_report_sent_before_deregistration_does_not_restore_target(self):
         """Requests must not go to an address that another service may use.
 
         The target deregisters; then a report arrives that was sent before.
         """
-        self.registry.note(said(number=5), 1.0)
+        self.registry.note(make_registration(number=5), 1.0)
         self.assertTrue(self.registry.leave("t1", 2.0))
-        self.assertEqual(self.registry.note(said(number=6), 3.0), [])
+        self.assertEqual(
+            self.registry.note(make_registration(number=6), 3.0), []
+        )
         self.assertIsNone(self.registry.find("t1"))
 
     def test_deregistration_before_first_report_is_remembered(self):
@@ -44,9 +48,11 @@
         """
         self.assertFalse(self.registry.leave("t1", 1.0))
         self.assertEqual(self.registry.departed, ("t1",))
-        self.assertEqual(self.registry.note(said(number=9), 2.0), [])
         self.assertEqual(
-            self.registry.note(said(born=5, number=1), 3.0), ["t1"]
+            self.registry.note(make_registration(number=9), 2.0), []
+        )
+        self.assertEqual(
+            self.registry.note(make_registration(born=5, number=1), 3.0), ["t1"]
         )
         self.assertEqual(self.registry.departed, ())
 
@@ -55,7 +61,7 @@
 
         The log contains the departure of an earlier start of it.
         """
-        self.registry.note(said(born=5, number=9), 1.0)
+        self.registry.note(make_registration(born=5, number=9), 1.0)
         self.assertFalse(self.registry.leave("t1", 2.0, born=4))
         self.assertIsNotNone(self.registry.find("t1"))
 
@@ -64,13 +70,13 @@
 
         It has the same id as before, and its report numbers start again.
         """
-        self.registry.note(said(born=1, number=90), 1.0)
+        self.registry.note(make_registration(born=1, number=90), 1.0)
         self.assertEqual(
-            self.registry.note(said(born=2, number=1), 2.0), ["t1"]
+            self.registry.note(make_registration(born=2, number=1), 2.0), ["t1"]
         )
         self.registry.leave("t1", 3.0)
         self.assertEqual(
-            self.registry.note(said(born=3, number=1), 4.0), ["t1"]
+            self.registry.note(make_registration(born=3, number=1), 4.0), ["t1"]
         )
 
     def test_address_belongs_to_newest_start(self):
@@ -80,16 +86,17 @@
         partition; after the partition heals, the last report of the failed one
         arrives.
         """
-        self.registry.note(said("old", born=1), 1.0)
-        changed = self.registry.note(said("new", born=9), 2.0)
+        self.registry.note(make_registration("old", born=1), 1.0)
+        changed = self.registry.note(make_registration("new", born=9), 2.0)
         self.assertEqual(changed, ["new", "old"])
         self.assertEqual(
-            self.registry.note(said("old", born=1, number=7), 3), []
+            self.registry.note(make_registration("old", born=1, number=7), 3),
+            [],
         )
         self.assertEqual(set(self.registry.sessions), {"new"})
 
     def test_targets_without_reports_expire(self):
-        self.registry.note(said(), 1.0)
+        self.registry.note(make_registration(), 1.0)
         self.assertEqual(self.registry.expire(5.0, silence=10.0), [])
         self.assertEqual(self.registry.expire(12.0, silence=10.0), ["t1"])
 
@@ -103,7 +110,9 @@
     def test_the_order_of_arrival_decides_nothing(self, reports, random):
         """Two leaders that heard the same in another order agree."""
         sent = {
-            (born, number): said(born=born, number=number, draining=draining)
+            (born, number): make_registration(
+                born=born, number=number, draining=draining
+            )
             for born, number, draining in reports
         }
         shuffled = [*sent.values(), *sent.values()]
@@ -112,4 +121,4 @@
         for now, report in enumerate(shuffled):
             registry.note(report, float(now))
         if sent:
-            self.assertEqual(registry.find("t1").said, sent[max(sent)])
+            self.assertEqual(registry.find("t1").registration, sent[max(sent)])
--- a/tests/test_table_updates.py
+++ b/tests/test_table_updates.py
@@ -34,7 +34,7 @@
     registration = registry_lib.Registration(
         name=name, service="llm", address=name, domain="a", number=number
     )
-    return site_messages.Target(said=registration)
+    return site_messages.Target(registration=registration)
 
 
 class Leader:
@@ -127,9 +127,11 @@
                     leader = successor
                     leader.updates.start()
             for known in entry._view.targets.values():
-                before = last_numbers.get(known.said.name, 0)
-                self.assertGreaterEqual(known.said.number, before)
-                last_numbers[known.said.name] = known.said.number
+                before = last_numbers.get(known.registration.name, 0)
+                self.assertGreaterEqual(known.registration.number, before)
+                last_numbers[known.registration.name] = (
+                    known.registration.number
+                )
         await asyncio.sleep(0.3)
         self._send_renewal(leader, entry)
         for update in leader.pushed:
@@ -174,7 +176,10 @@
         # A fifth of the event loop's time, at 0.02 s for each push.
         self.assertLessEqual(len(pushed), seconds * 0.2 / 0.02 + 2)
         self.assertEqual(
-            {t.said.name: t.said.number for t in pushed[-1].targets},
+            {
+                t.registration.name: t.registration.number
+                for t in pushed[-1].targets
+            },
             {"t0": 599, "t1": 600},
         )
 
@@ -186,7 +191,7 @@
         position = leader.updates.position
         leader.change("t7")
         update = leader.updates.update_since(position)
-        self.assertEqual([t.said.name for t in update.targets], ["t7"])
+        self.assertEqual([t.registration.name for t in update.targets], ["t7"])
 
     def test_a_host_older_than_a_forgotten_removal_gets_the_full_table(self):
         """Guards against removed targets that stay in a host's table."""
@@ -200,4 +205,4 @@
         update = leader.updates.update_since(
             leader.updates.position._replace(number=2)
         )
-        self.assertEqual([t.said.name for t in update.targets], ["t1"])
+        self.assertEqual([t.registration.name for t in update.targets], ["t1"])
--- a/tests/test_target_selection.py
+++ b/tests/test_target_selection.py
@@ -9,7 +9,7 @@
 
 def target(name, *, models=(), domain="a", number=1, **fields):
     loaded = tuple(registry_lib.Loaded(model) for model in models)
-    registration = test_registry.said(
+    registration = test_registry.make_registration(
         name,
         number=number,
         domain=domain,
@@ -18,7 +18,7 @@
         slots=fields.pop("slots", 64),
         draining=fields.pop("draining", False),
     )
-    return site_messages.Target(said=registration, **fields)
+    return site_messages.Target(registration=registration, **fields)
 
 
 class TargetViewTest(unittest.TestCase):
@@ -33,7 +33,7 @@
         )
         match result:
             case target_selection.Selected(target=picked):
-                return picked.said.name
+                return picked.registration.name
             case target_selection.Unavailable(reason=reason):
                 return reason
 
