--- a/benchmarks/capacity/control.py
+++ b/benchmarks/capacity/control.py
@@ -123,7 +123,7 @@
             answer = await driver.links[index].request(
                 messages.Watch(
                     host=_host_info(f"w{index}"),
-                    have=version,
+                    config_version=version,
                     hosts_seen=hosts_seen,
                     running=0,
                 ),
@@ -147,7 +147,9 @@
         link = driver.links[n % 8]
         name = f"host-1-abc-{time.monotonic_ns():x}"
         await link.request(
-            messages.Charge(team="team1", request=name, tokens=1, patience=5),
+            messages.Charge(
+                team="team1", request=name, tokens=1, max_wait_seconds=5
+            ),
             seconds=5,
         )
         ending = messages.Ending(request=name, team="team1", used=1)
@@ -186,7 +188,7 @@
                 team="team1",
                 needs="service:bench",
                 tokens=100,
-                patience=5,
+                max_wait_seconds=5,
                 avoid=[],
                 host=f"w{n % 8}",
             ),
@@ -354,12 +356,12 @@
         # The first renewal fetches the update, the second acknowledges it.
         answer = await link.request(
             messages.Watch(
-                host=host, have=max(1, known_version - 1), running=0
+                host=host, config_version=max(1, known_version - 1), running=0
             ),
             seconds=10,
         )
         await link.request(
-            messages.Watch(host=host, have=answer.version, running=0),
+            messages.Watch(host=host, config_version=answer.version, running=0),
             seconds=10,
         )
 
@@ -417,7 +419,9 @@
 
 def sizes() -> dict[str, int]:
     """Returns the encoded sizes of messages in bytes."""
-    watch = messages.Watch(host=_host_info("host-123"), have=1000, running=140)
+    watch = messages.Watch(
+        host=_host_info("host-123"), config_version=1000, running=140
+    )
     hosts = [_host_info(f"host-{n}") for n in range(390)]
 
     def lease(update: Any, table: Any) -> messages.Lease:
@@ -449,7 +453,10 @@
         queued_tokens=4000,
     )
     charge = messages.Charge(
-        team="team1", request="host-1-19a2b3c4d5e-1f4", tokens=700, patience=9.9
+        team="team1",
+        request="host-1-19a2b3c4d5e-1f4",
+        tokens=700,
+        max_wait_seconds=9.9,
     )
 
     def size(message: messages.Message) -> int:
--- a/packages/endivestream/src/endivestream/connection/engines.py
+++ b/packages/endivestream/src/endivestream/connection/engines.py
@@ -52,13 +52,13 @@
         accepted: Number of orders that it has accepted since its start.
         busy: Whether it is executing an order.
         loaded: Models that are loaded.
-        coming: Models and adapters that it is loading, as `MODEL/ADAPTER`.
+        loading: Models and adapters that it is loading, as `MODEL/ADAPTER`.
     """
 
     accepted: int
     busy: bool
     loaded: tuple[registry_lib.Loaded, ...]
-    coming: tuple[str, ...]
+    loading: tuple[str, ...]
 
 
 class Request(NamedTuple):
--- a/packages/endivestream/src/endivestream/connection/registry.py
+++ b/packages/endivestream/src/endivestream/connection/registry.py
@@ -44,12 +44,13 @@
         service: Name of the service that it belongs to.
         address: `IP:PORT` where it accepts requests.
         domain: Failure domain of the target.
-        born: Start time of its process, in milliseconds of the wall clock.
-        number: Rises with each report since the start.
+        started_at_ms: Start time of its process, in milliseconds of the wall
+            clock.
+        report_number: Rises with each report since the start.
         draining: Whether it is about to stop.
         slots: Maximum number of concurrent requests.
-        warm_in: Seconds until it works at full speed.
-        leaves_in: Seconds until it is shut down; None if unknown.
+        warmup_seconds: Seconds until it works at full speed.
+        shutdown_in: Seconds until it is shut down; None if unknown.
         loaded: Models that are loaded.
         in_memory: Names of the models whose weights are in its host memory.
         on_disk: Names of the models whose weights are on its disk.
@@ -59,12 +60,12 @@
     service: str
     address: str
     domain: str
-    born: int = 0
-    number: int = 0
+    started_at_ms: int = msgspec.field(default=0, name="born")
+    report_number: int = msgspec.field(default=0, name="number")
     draining: bool = False
     slots: int = 1
-    warm_in: float = 0.0
-    leaves_in: float | None = None
+    warmup_seconds: float = msgspec.field(default=0.0, name="warm_in")
+    shutdown_in: float | None = msgspec.field(default=None, name="leaves_in")
     loaded: tuple[Loaded, ...] = ()
     in_memory: tuple[str, ...] = ()
     on_disk: tuple[str, ...] = ()
@@ -72,7 +73,7 @@
     @property
     def order(self) -> tuple[int, int]:
         """Sort key; greater for a registration that the target sent later."""
-        return (self.born, self.number)
+        return (self.started_at_ms, self.report_number)
 
 
 class Session(NamedTuple):
@@ -80,30 +81,30 @@
 
     Attributes:
         registration: Newest registration of the target.
-        heard: Time at which that registration was received.
+        received_at: Time at which that registration was received.
     """
 
     registration: Registration
-    heard: float
+    received_at: float
 
 
 class _Gone(NamedTuple):
     """Record of a target that was removed from the table.
 
     Attributes:
-        born: Start time of the departed process; None if the table did not
-            contain it.
+        started_at_ms: Start time of the departed process; None if the table did
+            not contain it.
         since: Time of the removal.
     """
 
-    born: int | None
+    started_at_ms: int | None
     since: float
 
     def covers(self, registration: Registration) -> bool:
         """Whether a registration is of the departed process."""
-        if self.born is None:
-            return registration.number > _FIRST_REPORTS
-        return registration.born <= self.born
+        if self.started_at_ms is None:
+            return registration.report_number > _FIRST_REPORTS
+        return registration.started_at_ms <= self.started_at_ms
 
 
 class Registry:
@@ -149,7 +150,9 @@
             if session.registration.address == registration.address
             and session.registration.name != registration.name
         ]
-        if any(rival.born > registration.born for rival in rivals):
+        if any(
+            rival.started_at_ms > registration.started_at_ms for rival in rivals
+        ):
             # A report of a process that has ended, delayed by a network
             # partition; its address belongs to a newer process.
             return []
@@ -158,16 +161,19 @@
         self._sessions[registration.name] = Session(registration, now)
         return [registration.name, *(rival.name for rival in rivals)]
 
-    def leave(self, name: str, now: float, born: int | None = None) -> bool:
+    def leave(
+        self, name: str, now: float, started_at_ms: int | None = None
+    ) -> bool:
         """Removes a target that deregistered, and records its departure.
 
         The departure is recorded also if the target is not in the table yet. A
-        target that was started after `born` is kept.
+        target that was started after `started_at_ms` is kept.
 
         Args:
             name: Id of the target.
             now: The time.
-            born: Start time of the departed process, if known from elsewhere.
+            started_at_ms: Start time of the departed process, if known from
+                elsewhere.
 
         Returns:
             Whether the target was in the table and was removed.
@@ -175,8 +181,8 @@
         session = self._sessions.get(name)
         if (
             session is not None
-            and born is not None
-            and (session.registration.born > born)
+            and started_at_ms is not None
+            and (session.registration.started_at_ms > started_at_ms)
         ):
             return False
         if session is not None:
@@ -184,9 +190,9 @@
             return True
         # Entry hosts may still list the target from the previous leader.
         known = self._gone.get(name)
-        if born is None and known is not None:
-            born = known.born
-        self._gone[name] = _Gone(born, now)
+        if started_at_ms is None and known is not None:
+            started_at_ms = known.started_at_ms
+        self._gone[name] = _Gone(started_at_ms, now)
         return False
 
     @property
@@ -194,10 +200,10 @@
         """Names of the targets that recently departed or were replaced."""
         return tuple(self._gone.keys() - self._sessions.keys())
 
-    def born(self, name: str) -> int | None:
+    def started_at_ms(self, name: str) -> int | None:
         """Returns the start time of a target in the table, or None."""
         session = self._sessions.get(name)
-        return session.registration.born if session else None
+        return session.registration.started_at_ms if session else None
 
     def expire(self, now: float, *, silence: float) -> list[str]:
         """Removes targets without a recent report and returns their names.
@@ -209,7 +215,7 @@
         silent = [
             name
             for name, session in self._sessions.items()
-            if now - session.heard > silence
+            if now - session.received_at > silence
         ]
         for name in silent:
             self._forget(name, now)
@@ -225,4 +231,4 @@
 
     def _forget(self, name: str, now: float) -> None:
         session = self._sessions.pop(name)
-        self._gone[name] = _Gone(session.registration.born, now)
+        self._gone[name] = _Gone(session.registration.started_at_ms, now)
--- a/packages/endivestream/src/endivestream/connection/targets.py
+++ b/packages/endivestream/src/endivestream/connection/targets.py
@@ -18,13 +18,13 @@
     Attributes:
         info: Announcement of the target.
         report: Newest report of the target, or None.
-        heard: Time at which the last announcement or report was received, in
-            seconds of a monotonic clock.
+        received_at: Time at which the last announcement or report was received,
+            in seconds of a monotonic clock.
     """
 
     info: messages.TargetInfo
     report: messages.TargetReport | None
-    heard: float
+    received_at: float
 
     @property
     def draining(self) -> bool:
@@ -72,7 +72,7 @@
             if current.info.incarnation == info.incarnation:
                 # A resent announcement must not undo a later report.
                 self._sessions[info.name] = current._replace(
-                    info=info, heard=now
+                    info=info, received_at=now
                 )
                 return ""
         self._sessions[info.name] = Session(info, None, now)
@@ -92,7 +92,9 @@
             and report.sequence <= current.report.sequence
         ):
             return True
-        self._sessions[report.name] = current._replace(report=report, heard=now)
+        self._sessions[report.name] = current._replace(
+            report=report, received_at=now
+        )
         return True
 
     def hold_back(self, name: str, draining: bool) -> bool:
@@ -112,7 +114,7 @@
     def is_live(self, session: Session, now: float) -> bool:
         """Whether a target may get new work."""
         return (
-            now - session.heard <= self._silence_seconds
+            now - session.received_at <= self._silence_seconds
             and not session.draining
             and session.info.name not in self._drained_by_operator
         )
@@ -134,7 +136,7 @@
         expired = [
             name
             for name, session in self._sessions.items()
-            if now - session.heard > after
+            if now - session.received_at > after
         ]
         for name in expired:
             del self._sessions[name]
--- a/packages/endivestream/src/endivestream/connection/watch.py
+++ b/packages/endivestream/src/endivestream/connection/watch.py
@@ -202,7 +202,9 @@
                 self._lease_until = max(
                     self._lease_until, sent_at + answer.seconds
                 )
-                self._interval_seconds = answer.every or self._interval_seconds
+                self._interval_seconds = (
+                    answer.interval_seconds or self._interval_seconds
+                )
                 self._on_renewed(answer)
                 return address
             case messages.NotLeader(address=leader_address):
--- a/packages/endivestream/src/endivestream/messages.py
+++ b/packages/endivestream/src/endivestream/messages.py
@@ -43,13 +43,13 @@
 
     Attributes:
         host: The requesting host.
-        have: Version of the configuration in force on it.
+        config_version: Version of the configuration in force on it.
         hosts_seen: Version of its host table; 0 for none.
         running: Number of callers' requests running on it.
     """
 
     host: HostInfo
-    have: int
+    config_version: int = msgspec.field(name="have")
     hosts_seen: int = 0
     running: int
 
@@ -158,15 +158,15 @@
         team: Name of the team.
         request: Id of the attempt, unique per attempt.
         tokens: Tokens of the prompt plus the maximum number to generate.
-        patience: Seconds that the request can wait for the credit.
-        firm: Whether the caller set `patience` itself; a new leader does not
-            extend it.
+        max_wait_seconds: Seconds that the request can wait for the credit.
+        firm: Whether the caller set `max_wait_seconds` itself; a new leader
+            does not extend it.
     """
 
     team: str
     request: str
     tokens: int
-    patience: float
+    max_wait_seconds: float = msgspec.field(name="patience")
     firm: bool = False
 
 
@@ -223,7 +223,7 @@
         team: Name of the team whose share of the queue is used.
         needs: Name of a model, or `service:NAME`.
         tokens: Expected work in tokens.
-        patience: Seconds that the request can wait for the place.
+        max_wait_seconds: Seconds that the request can wait for the place.
         avoid: Names of targets not to use.
         host: Name of the requesting host; its tickets are released when it is
             removed.
@@ -234,7 +234,7 @@
     team: str
     needs: str
     tokens: int
-    patience: float
+    max_wait_seconds: float = msgspec.field(name="patience")
     avoid: list[str]
     host: str
     blocks: tuple[int, ...] = ()
--- a/packages/endivestream/src/endivestream/process/credit_allocator.py
+++ b/packages/endivestream/src/endivestream/process/credit_allocator.py
@@ -299,7 +299,7 @@
             return self._allocate(host, bucket, shortfall, 0.0)
         if bucket.take_small(need.wanted):
             grant = self._create_grant(host, bucket, need.wanted, 0.0)
-            return grant._replace(after=_IMMEDIATE_SECONDS)
+            return grant._replace(usable_in=_IMMEDIATE_SECONDS)
         # Small requests may take their fraction of the refill meanwhile.
         rate = bucket.team.rate * (1.0 - _SMALL_RATE_FRACTION)
         delay = (need.wanted - bucket.level) / rate
@@ -307,12 +307,12 @@
         if delay <= max_wait:
             bucket.level -= need.wanted
             grant = self._create_grant(host, bucket, need.wanted, 0.0)
-            return grant._replace(after=delay)
+            return grant._replace(usable_in=delay)
         retry_after = delay + bucket.refused_credit / rate
         bucket.refused_credit += need.wanted
         short = (shortfall - bucket.level) / bucket.team.rate
         return self._create_grant(host, bucket, 0.0, short)._replace(
-            told=retry_after
+            retry_after=retry_after
         )
 
     def remove_host(self, host: str) -> None:
--- a/packages/endivestream/src/endivestream/process/credit_requests.py
+++ b/packages/endivestream/src/endivestream/process/credit_requests.py
@@ -89,7 +89,7 @@
     async def _exchange(self, batch: list[_PendingRequest]) -> None:
         message = site_messages.AskCredit(
             host=self._host,
-            asked=tuple(request.wanted for request in batch),
+            credit_requests=tuple(request.wanted for request in batch),
         )
         answer = await self._watch.ask(message, seconds=_TIMEOUT_SECONDS)
         grants: tuple[site_messages.Grant | None, ...] = ()
--- a/packages/endivestream/src/endivestream/process/demand_table.py
+++ b/packages/endivestream/src/endivestream/process/demand_table.py
@@ -60,11 +60,11 @@
         key = (report.service, report.model, report.adapter)
         entry = self._entries.setdefault(key, _Entry())
         entry.rates[host] = report.rate
-        if report.unserved:
-            entry.unserved_since[host] = now - report.unserved
-        if report.urgency:
-            current = entry.objective or report.urgency
-            entry.objective = min(current, report.urgency)
+        if report.unserved_seconds:
+            entry.unserved_since[host] = now - report.unserved_seconds
+        if report.shortest_objective:
+            current = entry.objective or report.shortest_objective
+            entry.objective = min(current, report.shortest_objective)
         if report.waiting:
             entry.waiting[host] = report.waiting
 
--- a/packages/endivestream/src/endivestream/process/dispatcher.py
+++ b/packages/endivestream/src/endivestream/process/dispatcher.py
@@ -169,7 +169,7 @@
             team.weight if team else 1,
             message.needs,
             message.tokens,
-            now + message.patience,
+            now + message.max_wait_seconds,
             frozenset(message.avoid),
             message.blocks,
         )
@@ -195,7 +195,7 @@
         home gateways report them within a tenth of a second.
         """
         deadline = min(
-            self._tables_filled_at, time.monotonic() + message.patience
+            self._tables_filled_at, time.monotonic() + message.max_wait_seconds
         )
         avoid = frozenset(message.avoid)
         while not self._scheduler.serves(message.needs, avoid):
@@ -216,7 +216,7 @@
             future = asyncio.get_running_loop().create_future()
             self._waiting_requests[message.request] = future
         try:
-            async with asyncio.timeout(message.patience):
+            async with asyncio.timeout(message.max_wait_seconds):
                 return await asyncio.shield(future)
         except TimeoutError:
             return None
@@ -300,6 +300,6 @@
     return messages.Refused(
         reason="overloaded",
         detail=f"no free slot for {message.needs!r} within "
-        f"{message.patience:.1f} s",
+        f"{message.max_wait_seconds:.1f} s",
         retry_after=1.0,
     )
--- a/packages/endivestream/src/endivestream/process/engine_worker.py
+++ b/packages/endivestream/src/endivestream/process/engine_worker.py
@@ -416,7 +416,7 @@
         }
         now = clock.now()
         self._unloading_adapters &= shown
-        for name in self.adapters.keys() - shown - set(report.coming):
+        for name in self.adapters.keys() - shown - set(report.loading):
             if now - self.adapters[name] > MAX_REPORT_LAG_SECONDS:
                 del self.adapters[name]
 
--- a/packages/endivestream/src/endivestream/process/entry.py
+++ b/packages/endivestream/src/endivestream/process/entry.py
@@ -377,8 +377,8 @@
         self._rate_limits.mark_reported()
         for grant in renewed.grants:
             self._credit_shares.apply_grant(grant, now)
-        if renewed.news is not None:
-            self._take_news(renewed.news)
+        if renewed.table_update is not None:
+            self._take_news(renewed.table_update)
         if renewed.loads is not None:
             self._view.set_loads(renewed.loads, now)
         self._drop_unlisted(now)
@@ -393,7 +393,7 @@
         if news.document is not None:
             self._apply_document(news.document)
         self._apply_table(news)
-        has_departures = news.gone or any(
+        has_departures = news.removed_targets or any(
             t.registration.draining for t in news.targets
         )
         needs_confirmation = has_departures or news.document is not None
@@ -412,13 +412,15 @@
         if news.position <= self._position:
             # A later update arrived first, with the answer to a renewal.
             return
-        if news.after is not None and not self._has_reached(news.after):
+        if news.base_position is not None and not self._has_reached(
+            news.base_position
+        ):
             # An update in between was lost. The next renewal fetches it.
             self._watch.poke()
             return
         self._position = news.position
-        removed = list(news.gone)
-        if news.after is None and news.complete:
+        removed = list(news.removed_targets)
+        if news.base_position is None and news.complete:
             listed = {target.registration.name for target in news.targets}
             now = clock.now()
             for name in self._view.targets.keys() - listed:
--- a/packages/endivestream/src/endivestream/process/entry_credit.py
+++ b/packages/endivestream/src/endivestream/process/entry_credit.py
@@ -88,10 +88,10 @@
                 if clock.now() < resend_deadline:
                     continue
                 return _RETRY_AFTER_SECONDS
-            if grant.after and await self._wait_for_reservation(grant):
+            if grant.usable_in and await self._wait_for_reservation(grant):
                 return None
-            if grant.short:
-                return max(grant.short, grant.told)
+            if grant.available_in:
+                return max(grant.available_in, grant.retry_after)
         return None
 
     async def _request_credit(
@@ -107,23 +107,25 @@
             # Without a leader, the call above returns immediately.
             await asyncio.sleep(_RESEND_DELAY_SECONDS)
             return None
-        immediate_grant = grant._replace(credit=0.0) if grant.after else grant
+        immediate_grant = (
+            grant._replace(credit=0.0) if grant.usable_in else grant
+        )
         self._credit_shares.apply_grant(immediate_grant, clock.now())
         return grant
 
     def _return_unclaimed(self, grant: site_messages.Grant) -> None:
         """Returns to the team the credit of a disconnected caller's request."""
-        if grant.after:
+        if grant.usable_in:
             loop = asyncio.get_running_loop()
-            loop.call_later(grant.after, self._return_reserved, grant)
+            loop.call_later(grant.usable_in, self._return_reserved, grant)
         else:
             self._credit_shares.apply_grant(grant, clock.now())
 
     async def _wait_for_reservation(self, grant: site_messages.Grant) -> bool:
         """Waits for reserved credit; returns whether it is still valid."""
-        due_at = clock.now() + grant.after
+        due_at = clock.now() + grant.usable_in
         try:
-            await asyncio.sleep(grant.after)
+            await asyncio.sleep(grant.usable_in)
         except asyncio.CancelledError:
             # The caller has disconnected. The credit is returned to the team,
             # but not before it is due.
--- a/packages/endivestream/src/endivestream/process/entry_rate_limits.py
+++ b/packages/endivestream/src/endivestream/process/entry_rate_limits.py
@@ -96,9 +96,11 @@
                 )
                 return
         now = clock.now()
-        before = self._limits.rate(registration.name, registration.born)
+        before = self._limits.rate(
+            registration.name, registration.started_at_ms
+        )
         if not self._limits.record_answer(
-            registration.name, registration.born, rate, now
+            registration.name, registration.started_at_ms, rate, now
         ):
             return
         _log_rate_limit(registration.name, rate, "target")
@@ -149,7 +151,7 @@
             may be tried again.
         """
         now = clock.now()
-        rate = self._limits.rate(registration.name, registration.born)
+        rate = self._limits.rate(registration.name, registration.started_at_ms)
         if rate is None:
             return None
         share = self._shares.setdefault(
@@ -162,16 +164,16 @@
         answer = await self._watch.ask(
             site_messages.AskSend(
                 limit=site_messages.RateLimit(
-                    registration.name, registration.born, rate, age
+                    registration.name, registration.started_at_ms, rate, age
                 ),
-                patience=patience,
+                max_wait_seconds=patience,
             ),
             seconds=_TIMEOUT_SECONDS,
         )
         match answer:
-            case site_messages.GiveSend(wait=float(wait)):
+            case site_messages.GiveSend(send_in=float(wait)):
                 return await self._wait_for_send(registration, rate, now, wait)
-            case site_messages.GiveSend(again=again):
+            case site_messages.GiveSend(retry_in=again):
                 self._outcomes["denied"] += 1
                 logs.event(
                     "send_denied",
@@ -193,7 +195,9 @@
         """Waits for the granted moment of a send; returns as `permit` does."""
         await asyncio.sleep(wait)
         delay = clock.now() - requested_at - wait - _TIMEOUT_SECONDS
-        current_rate = self._limits.rate(registration.name, registration.born)
+        current_rate = self._limits.rate(
+            registration.name, registration.started_at_ms
+        )
         has_decreased = current_rate is not None and current_rate < rate
         if delay > _MAX_DELAY_SECONDS or has_decreased:
             self._outcomes["denied"] += 1
--- a/packages/endivestream/src/endivestream/process/gateway.py
+++ b/packages/endivestream/src/endivestream/process/gateway.py
@@ -240,7 +240,7 @@
         answer = await self.request_leader(
             messages.Watch(
                 host=self.host,
-                have=self._view.version,
+                config_version=self._view.version,
                 hosts_seen=self._hosts_version,
                 running=self.running,
             ),
@@ -326,13 +326,17 @@
         self, message: messages.Charge
     ) -> messages.Charged | messages.Refused:
         """Requests a team's credit; refused if no leader answers."""
-        return await self._request_with_patience(message, message.patience)
+        return await self._request_with_patience(
+            message, message.max_wait_seconds
+        )
 
     async def request_ticket(
         self, message: messages.AskTicket
     ) -> messages.Ticket | messages.Refused:
         """Requests a place on a target; refused if no leader answers."""
-        return await self._request_with_patience(message, message.patience)
+        return await self._request_with_patience(
+            message, message.max_wait_seconds
+        )
 
     async def _request_with_patience(
         self, message: messages.Message, patience: float
--- a/packages/endivestream/src/endivestream/process/handlers.py
+++ b/packages/endivestream/src/endivestream/process/handlers.py
@@ -287,7 +287,7 @@
                 team=team,
                 request=request,
                 tokens=tokens,
-                patience=(
+                max_wait_seconds=(
                     self.patience() if has_own_patience else default_patience
                 ),
                 firm=has_own_patience,
--- a/packages/endivestream/src/endivestream/process/leader.py
+++ b/packages/endivestream/src/endivestream/process/leader.py
@@ -254,7 +254,9 @@
     ) -> messages.Message | None:
         now = time.monotonic()
         previous = self.host_leases.find(message.host.name)
-        if not self.host_leases.renew(message.host, peer, message.have, now):
+        if not self.host_leases.renew(
+            message.host, peer, message.config_version, now
+        ):
             logs.warn(
                 "duplicate_host_name",
                 peer=message.host.name,
@@ -279,8 +281,8 @@
             return messages.NotLeader(address="")
         configuration = self._replicator.state.configuration
         update = None
-        if message.have != configuration.version:
-            update = configuration.update_since(message.have)
+        if message.config_version != configuration.version:
+            update = configuration.update_since(message.config_version)
         hosts_version = self.host_leases.hosts_version
         # An incomplete table is sent only to a host that has none yet.
         has_hosts = message.hosts_seen == hosts_version or (
--- a/packages/endivestream/src/endivestream/process/limiter.py
+++ b/packages/endivestream/src/endivestream/process/limiter.py
@@ -104,7 +104,7 @@
                 retry_after=-1,
             )
         started_at = _now_us()
-        patience = message.patience
+        patience = message.max_wait_seconds
         if not message.firm:
             # The credit reserved by the previous leader is lost. Teams within
             # their rate wait for its refill and are not refused because of it.
--- a/packages/endivestream/src/endivestream/process/planner.py
+++ b/packages/endivestream/src/endivestream/process/planner.py
@@ -172,7 +172,10 @@
     def apply_report(self, registration: registry_lib.Registration) -> None:
         """Applies a report of a target."""
         worker = self._workers.get(registration.name)
-        if worker is None or worker.registration.born != registration.born:
+        if (
+            worker is None
+            or worker.registration.started_at_ms != registration.started_at_ms
+        ):
             if worker is not None and worker.task is not None:
                 worker.task.cancel()
             worker = worker_lib.EngineWorker(
--- a/packages/endivestream/src/endivestream/process/planner_lease_holder.py
+++ b/packages/endivestream/src/endivestream/process/planner_lease_holder.py
@@ -147,11 +147,14 @@
             self._document_version = document.version
             planner.set_document(document)
         with self._meter.span("feed"):
-            if answer.fresh:
+            if answer.is_complete_state:
                 self._start_full_feed(planner, answer.items)
             for item in answer.items:
                 self._apply_feed_item(planner, item)
-        if answer.fresh and answer.position.term != self._position.term:
+        if (
+            answer.is_complete_state
+            and answer.position.term != self._position.term
+        ):
             # A new leader has no placement updates yet.
             self._send_placement_updates(planner.targets)
         self._position = answer.position
@@ -224,9 +227,9 @@
             site_messages.Notice(
                 target=target,
                 number=self._update_number,
-                closing=planner.closing_models(target),
+                unloading=planner.closing_models(target),
                 adapters=planner.usable_adapters(target),
-                coming=planner.pending_loads(target),
+                loading=planner.pending_loads(target),
             )
             for target in targets
         )
--- a/packages/endivestream/src/endivestream/process/planner_lease_manager.py
+++ b/packages/endivestream/src/endivestream/process/planner_lease_manager.py
@@ -227,7 +227,7 @@
             position=site_messages.Position(
                 self._replicator.term, self._last_number
             ),
-            fresh=is_full,
+            is_complete_state=is_full,
             items=tuple(items),
         )
 
--- a/packages/endivestream/src/endivestream/process/site_control.py
+++ b/packages/endivestream/src/endivestream/process/site_control.py
@@ -78,7 +78,7 @@
             index=lambda: self._control.replicator.index,
             version=lambda: self._control.replicator.state.document.version,
             departed=lambda: len(
-                self._control.replicator.state.departures.born
+                self._control.replicator.state.departures.start_times_ms
             ),
             unplaced=lambda: self._planner_lease_holder.unplaced_models,
             meter=self._meter,
--- a/packages/endivestream/src/endivestream/process/site_leader.py
+++ b/packages/endivestream/src/endivestream/process/site_leader.py
@@ -96,7 +96,7 @@
         for (
             name,
             started_at,
-        ) in leader_context.replicator.state.departures.born.items():
+        ) in leader_context.replicator.state.departures.start_times_ms.items():
             self._registry.leave(name, self._started_at, started_at)
         self._silent_targets: set[str] = set()
         self._sessions: dict[str, _EntryHostSession] = {}
@@ -199,7 +199,7 @@
         match message:
             case site_messages.Renew():
                 return self._handle_renewal(peer, message)
-            case site_messages.AskCredit(host=host, asked=requests):
+            case site_messages.AskCredit(host=host, credit_requests=requests):
                 grants = tuple(
                     self._grant_credit(host, request) for request in requests
                 )
@@ -278,27 +278,27 @@
         now = clock.now()
         limit = message.limit
         self._merge_rate_limits([limit])
-        rate = self._rate_limits.rate(limit.target, limit.born)
+        rate = self._rate_limits.rate(limit.target, limit.started_at_ms)
         if rate is None:
             # The limit has ended, or belongs to another start of the target;
             # the table update with this change is already in flight.
-            return site_messages.GiveSend(wait=0.0)
+            return site_messages.GiveSend(send_in=0.0)
         decision = self._send_slots.take(
             limit.target,
-            limit.born,
+            limit.started_at_ms,
             rate,
             hosts=len(self._sessions),
-            patience=message.patience,
+            patience=message.max_wait_seconds,
             now=now,
         )
         match decision:
             case send_slots.Granted(wait=wait):
-                return site_messages.GiveSend(wait=wait)
+                return site_messages.GiveSend(send_in=wait)
             case send_slots.Denied(seconds=seconds):
-                return site_messages.GiveSend(again=seconds)
+                return site_messages.GiveSend(retry_in=seconds)
 
     def _record_send(self, target: str) -> None:
-        started_at = self._registry.born(target)
+        started_at = self._registry.started_at_ms(target)
         rate = (
             None
             if started_at is None
@@ -314,7 +314,8 @@
         current = [
             limit
             for limit in limits
-            if limit.born >= (self._registry.born(limit.target) or 0)
+            if limit.started_at_ms
+            >= (self._registry.started_at_ms(limit.target) or 0)
         ]
         changed = self._rate_limits.merge(current, clock.now())
         if not changed:
@@ -342,8 +343,8 @@
             host,
             need,
             clock.now(),
-            timely_within=request.soon,
-            max_wait_seconds=request.patience,
+            timely_within=request.timely_within,
+            max_wait_seconds=request.max_wait_seconds,
         )
         if grant is None:
             # This leader has no limit for the team (yet): credit is not short.
@@ -375,7 +376,7 @@
         Entry hosts may know the target from the previous leader, so they are
         notified even if it has not reported to this leader.
         """
-        started_at = self._registry.born(name)
+        started_at = self._registry.started_at_ms(name)
         was_known = self._registry.leave(name, clock.now())
         logs.event(
             "target_deregistered",
@@ -385,7 +386,7 @@
         )
         self._targets_changed([name])
         await self._replicator.propose(
-            departures_lib.Depart(name=name, born=started_at)
+            departures_lib.Depart(name=name, started_at_ms=started_at)
         )
         await self._wait_for_departure(name)
 
@@ -404,7 +405,7 @@
             return
         self._lease_manager.forward_report(registration)
         if self._rate_limits.remove_older_starts(
-            registration.name, registration.born
+            registration.name, registration.started_at_ms
         ):
             self._lease_manager.set_rate_limits(self._rate_limits.rates)
         if registration.name in self._silent_targets:
@@ -444,10 +445,10 @@
         )
         return site_messages.Target(
             registration=registration,
-            closing=placement_update.closing,
+            unloading=placement_update.unloading,
             adapters=placement_update.adapters,
-            silent=registration.name in self._silent_targets,
-            coming=placement_update.coming,
+            reports_overdue=registration.name in self._silent_targets,
+            loading=placement_update.loading,
         )
 
     def _targets_changed(self, names: Iterable[str]) -> None:
@@ -528,7 +529,7 @@
         if message.version < version and not is_push_in_flight:
             position = message.position
             update = update or site_messages.News(
-                position=position, after=position
+                position=position, base_position=position
             )
             update = msgspec.structs.replace(update, document=document)
         members = self._replicator.replica.members.all
@@ -542,11 +543,11 @@
         return site_messages.Renewed(
             seconds=self._settings.lease_seconds,
             version=version,
-            news=update,
+            table_update=update,
             grants=tuple(grant for grant in grants if grant is not None),
             controls=controls,
             loads=loads,
-            every=self._renew_seconds,
+            interval_seconds=self._renew_seconds,
         )
 
     def _relay_of(self, session: _EntryHostSession) -> str:
@@ -643,7 +644,7 @@
         self._send_slots.forget(self._rate_limits.rates)
         for name, session in sessions.items():
             if (
-                now - session.heard > silence
+                now - session.received_at > silence
                 and name not in self._silent_targets
             ):
                 logs.warn("target_silent", target=name)
@@ -657,8 +658,13 @@
     before: registry_lib.Registration, after: registry_lib.Registration
 ) -> bool:
     """Whether two registrations differ in nothing that entry hosts use."""
-    ignored = {"number": 0, "warm_in": 0.0, "in_memory": (), "on_disk": ()}
+    ignored = {
+        "report_number": 0,
+        "warmup_seconds": 0.0,
+        "in_memory": (),
+        "on_disk": (),
+    }
     is_same = msgspec.structs.replace(
         before, **ignored
     ) == msgspec.structs.replace(after, **ignored)
-    return is_same and (before.warm_in > 0) == (after.warm_in > 0)
+    return is_same and (before.warmup_seconds > 0) == (after.warmup_seconds > 0)
--- a/packages/endivestream/src/endivestream/process/table_updates.py
+++ b/packages/endivestream/src/endivestream/process/table_updates.py
@@ -177,9 +177,11 @@
         has_entry_hosts = self._last_entry_hosts_change <= position.number
         return site_messages.News(
             position=self.position,
-            after=position,
+            base_position=position,
             targets=tuple(t for t in targets.values() if t is not None),
-            gone=tuple(name for name, t in targets.items() if t is None),
+            removed_targets=tuple(
+                name for name, t in targets.items() if t is None
+            ),
             entries=None if has_entry_hosts else self._entry_hosts,
             limits=self._rate_limits(targets.keys()),
         )
@@ -188,10 +190,10 @@
         table = self._full_table()
         return site_messages.News(
             position=self.position,
-            after=None,
+            base_position=None,
             complete=table.complete,
             targets=table.targets,
-            gone=table.removed,
+            removed_targets=table.removed,
             entries=self._entry_hosts,
             limits=self._rate_limits(None),
         )
@@ -200,7 +202,9 @@
         """Pushes a configuration to direct peers, ahead of batched changes."""
         pushed_position = site_messages.Position(self._term, self._last_pushed)
         update = site_messages.News(
-            position=pushed_position, after=pushed_position, document=document
+            position=pushed_position,
+            base_position=pushed_position,
+            document=document,
         )
         task = tasks.start(self._push(self._direct_peers(), update), "push")
         self._push_tasks.add(task)
--- a/packages/endivestream/src/endivestream/process/views.py
+++ b/packages/endivestream/src/endivestream/process/views.py
@@ -148,7 +148,7 @@
                 "url": session.info.url,
                 "live": name in live,
                 "draining": session.draining or name in targets.held_back,
-                "silent_s": round(now - session.heard, 2),
+                "silent_s": round(now - session.received_at, 2),
                 "held_mib": entry.held if entry else 0,
                 "memory_mib": session.info.memory,
                 "loaded": sorted(session.loaded),
--- a/packages/endivestream/src/endivestream/request/attempts.py
+++ b/packages/endivestream/src/endivestream/request/attempts.py
@@ -91,7 +91,7 @@
                     team=self._work.team,
                     needs=self._work.needs,
                     tokens=self._work.tokens,
-                    patience=max(0.05, patience),
+                    max_wait_seconds=max(0.05, patience),
                     avoid=self._failed_targets,
                     host=self._gateway.settings.host.name,
                     blocks=self._work.blocks,
--- a/packages/endivestream/src/endivestream/request/credit_shares.py
+++ b/packages/endivestream/src/endivestream/request/credit_shares.py
@@ -166,9 +166,9 @@
         share = self._shares.setdefault(grant.team, _CreditShare())
         share.balance += grant.credit
         share.rate = grant.rate
-        share.max_balance = grant.most
-        share.short_until = now + grant.short
-        share.retry_at = now + grant.told
+        share.max_balance = grant.max_balance
+        share.short_until = now + grant.available_in
+        share.retry_at = now + grant.retry_after
 
     def record_answer(self, now: float) -> None:
         """Records that the leader answered; refills count from this time."""
--- a/packages/endivestream/src/endivestream/request/rate_limits.py
+++ b/packages/endivestream/src/endivestream/request/rate_limits.py
@@ -115,7 +115,7 @@
             if self._update_if_newer(
                 limit.target,
                 _Report(
-                    born=limit.born,
+                    born=limit.started_at_ms,
                     rate=limit.rate,
                     reported_at=now - limit.age,
                 ),
--- a/packages/endivestream/src/endivestream/request/target_selection.py
+++ b/packages/endivestream/src/endivestream/request/target_selection.py
@@ -204,7 +204,8 @@
             ):
                 continue
             restarted = current is not None and (
-                current.registration.born != target.registration.born
+                current.registration.started_at_ms
+                != target.registration.started_at_ms
             )
             if restarted or name not in self._states:
                 previous = self._states.get(name, _TargetState())
@@ -218,7 +219,7 @@
             self._targets[name] = target
             self._loads_expected_at[name] = {
                 loading.model: now + loading.seconds
-                for loading in target.coming
+                for loading in target.loading
             }
         for name in removed:
             self._targets.pop(name, None)
@@ -264,7 +265,8 @@
     def is_rate_limited(self, registration: registry_lib.Registration) -> bool:
         """Returns whether a target reports a rate limit."""
         return (
-            self._limits.rate(registration.name, registration.born) is not None
+            self._limits.rate(registration.name, registration.started_at_ms)
+            is not None
         )
 
     def block(self, target: str, until: float) -> None:
@@ -278,7 +280,10 @@
     ) -> bool:
         """Returns whether a target selected earlier can still be used."""
         target = self._targets.get(registration.name)
-        if target is None or target.registration.born != registration.born:
+        if (
+            target is None
+            or target.registration.started_at_ms != registration.started_at_ms
+        ):
             return False
         has_model = not requirements.model or self._has_model(
             registration.name, requirements.model
@@ -364,7 +369,7 @@
         target = self._targets[name]
         return (
             any(loaded.model == model for loaded in target.registration.loaded)
-            and model not in target.closing
+            and model not in target.unloading
             and model not in self._states[name].denied_names
         )
 
@@ -434,12 +439,12 @@
             if requirements.session and name == last_target:
                 load -= _SESSION_AFFINITY_REQUESTS
                 candidate_reason = "session"
-            if target.registration.warm_in > 0:
+            if target.registration.warmup_seconds > 0:
                 load *= 2
             is_recent = self._limits.age(name, now) < _RATE_LIMIT_FRESH_SECONDS
             if is_recent and self.is_rate_limited(target.registration):
                 load += _RATE_LIMITED_REQUESTS
-            if target.silent:
+            if target.reports_overdue:
                 load += _SILENT_TARGET_REQUESTS
             # Ties are broken by session, so that its requests go to the same
             # target, whose cache has the shared parts of the prompt.
@@ -528,7 +533,7 @@
                 del self._states[target]
                 return False
         closing = (
-            self._targets[target].closing if target in self._targets else ()
+            self._targets[target].unloading if target in self._targets else ()
         )
         is_last_use = requirements.model in closing and not any(
             model == requirements.model for model, _ in state.models
--- a/packages/endivestream/src/endivestream/site_messages.py
+++ b/packages/endivestream/src/endivestream/site_messages.py
@@ -47,9 +47,10 @@
         adapter: Name of the adapter, or empty.
         rate: Requests a second, averaged over the last seconds.
         waiting: Number of requests that wait because no target has loaded it.
-        urgency: Shortest objective of the waiting requests, in seconds; 0 if
-            none.
-        unserved: Seconds for which no request for the model has found a target.
+        shortest_objective: Shortest objective of the waiting requests, in
+            seconds; 0 if none.
+        unserved_seconds: Seconds for which no request for the model has found a
+            target.
     """
 
     service: str
@@ -57,8 +58,8 @@
     adapter: str
     rate: float
     waiting: int
-    urgency: float
-    unserved: float = 0.0
+    shortest_objective: float
+    unserved_seconds: float = 0.0
 
 
 class Use(NamedTuple):
@@ -104,21 +105,22 @@
         credit: Credit to add to the host's balance.
         rate: Credit a second that the host may add by itself while it receives
             nothing from a leader.
-        short: Seconds until the requested credit is available; 0 if it was
-            granted.
-        most: Maximum credit that the host may hold; it returns the excess.
-        after: Seconds until the credit may be spent, and only by the request
-            that it was requested for.
-        told: Seconds after which a refused caller should retry.
+        available_in: Seconds until the requested credit is available; 0 if it
+            was granted.
+        max_balance: Maximum credit that the host may hold; it returns the
+            excess.
+        usable_in: Seconds until the credit may be spent, and only by the
+            request that it was requested for.
+        retry_after: Seconds after which a refused caller should retry.
     """
 
     team: str
     credit: float
     rate: float
-    short: float
-    most: float = math.inf
-    after: float = 0.0
-    told: float = 0.0
+    available_in: float
+    max_balance: float = math.inf
+    usable_in: float = 0.0
+    retry_after: float = 0.0
 
 
 class Coming(NamedTuple):
@@ -139,18 +141,18 @@
 
     Attributes:
         registration: Newest registration of the target.
-        closing: Models about to be unloaded; they get no new requests.
+        unloading: Models about to be unloaded; they get no new requests.
         adapters: Loaded adapters as `MODEL/ADAPTER`, from the planner's own
             orders.
-        silent: Whether the target's reports are overdue.
-        coming: Models that the target is loading.
+        reports_overdue: Whether the target's reports are overdue.
+        loading: Models that the target is loading.
     """
 
     registration: registry_lib.Registration = msgspec.field(name="said")
-    closing: tuple[str, ...] = ()
+    unloading: tuple[str, ...] = msgspec.field(default=(), name="closing")
     adapters: tuple[str, ...] = ()
-    silent: bool = False
-    coming: tuple[Coming, ...] = ()
+    reports_overdue: bool = msgspec.field(default=False, name="silent")
+    loading: tuple[Coming, ...] = msgspec.field(default=(), name="coming")
 
 
 class RateLimit(NamedTuple):
@@ -158,14 +160,14 @@
 
     Attributes:
         target: Id of the target.
-        born: Start time of the target process that reported the limit.
+        started_at_ms: Start time of the target process that reported the limit.
         rate: Requests a second from all hosts together; None if the target no
             longer reports a limit.
         age: Seconds since the limit was reported.
     """
 
     target: str
-    born: int
+    started_at_ms: int
     rate: float | None
     age: float
 
@@ -187,23 +189,23 @@
 
     Attributes:
         position: Version of the table after this update.
-        after: Version that the update applies to; None if it holds the complete
-            table.
+        base_position: Version that the update applies to; None if it holds the
+            complete table.
         complete: For a complete table, whether targets missing from it are
             removed. False while a new leader may not have received reports of
             all targets.
         targets: New and changed targets.
-        gone: Ids of removed targets.
+        removed_targets: Ids of removed targets.
         entries: All entry hosts, or None if unchanged.
         document: The configuration, or None if unchanged.
         limits: Known rate limits of the targets in this update.
     """
 
     position: Position
-    after: Position | None
+    base_position: Position | None = msgspec.field(name="after")
     complete: bool = True
     targets: tuple[Target, ...] = ()
-    gone: tuple[str, ...] = ()
+    removed_targets: tuple[str, ...] = msgspec.field(default=(), name="gone")
     entries: tuple[EntryHost, ...] | None = None
     document: document_lib.Document | None = None
     limits: tuple[RateLimit, ...] = ()
@@ -248,22 +250,23 @@
         seconds: Duration of the configuration lease, from the sending of the
             `Renew`.
         version: Version of the configuration in force.
-        news: Table update that the host lacks, or None.
+        table_update: Table update that the host lacks, or None.
         grants: Credit granted to the host.
         controls: Addresses of the control hosts; empty if the host's digest
             matches.
         loads: Requests that other entry hosts are running, by target; None if
             the host receives them through a relay.
-        every: Seconds between renewals; 0 for the host's own setting.
+        interval_seconds: Seconds between renewals; 0 for the host's own
+            setting.
     """
 
     seconds: float
     version: int
-    news: News | None = None
+    table_update: News | None = msgspec.field(default=None, name="news")
     grants: tuple[Grant, ...] = ()
     controls: tuple[str, ...] = ()
     loads: dict[str, int] | None = None
-    every: float = 0.0
+    interval_seconds: float = msgspec.field(default=0.0, name="every")
 
 
 class Loads(msgspec.Struct, frozen=True, kw_only=True, tag=True):
@@ -302,13 +305,14 @@
 
     Attributes:
         need: Credit of the team that the host holds and needs.
-        soon: Seconds that the caller's request can wait and still be on time.
-        patience: Maximum seconds that the caller's request can wait.
+        timely_within: Seconds that the caller's request can wait and still be
+            on time.
+        max_wait_seconds: Maximum seconds that the caller's request can wait.
     """
 
     need: Need
-    soon: float = 0.0
-    patience: float = 0.0
+    timely_within: float = 0.0
+    max_wait_seconds: float = 0.0
 
 
 class AskCredit(msgspec.Struct, frozen=True, kw_only=True, tag=True):
@@ -316,18 +320,19 @@
 
     Attributes:
         host: Name of the requesting host.
-        asked: Credit needed by each waiting request.
+        credit_requests: Credit needed by each waiting request.
     """
 
     host: str
-    asked: tuple[CreditAsk, ...]
+    credit_requests: tuple[CreditAsk, ...] = msgspec.field(name="asked")
 
 
 class GiveCredit(msgspec.Struct, frozen=True, kw_only=True, tag=True):
     """Answer to `AskCredit`.
 
     Attributes:
-        grants: One grant for each entry of `asked`, in the same order.
+        grants: One grant for each entry of `credit_requests`, in the same
+            order.
     """
 
     grants: tuple[Grant, ...]
@@ -359,23 +364,23 @@
     Attributes:
         limit: Rate limit of the target, as last received by the requesting
             host.
-        patience: Seconds that the caller's request can wait.
+        max_wait_seconds: Seconds that the caller's request can wait.
     """
 
     limit: RateLimit
-    patience: float
+    max_wait_seconds: float = msgspec.field(name="patience")
 
 
 class GiveSend(msgspec.Struct, frozen=True, kw_only=True, tag=True):
     """Answer to `AskSend`.
 
     Attributes:
-        wait: Seconds after which the request may be sent; None if denied.
-        again: If denied, seconds after which to request permission again.
+        send_in: Seconds after which the request may be sent; None if denied.
+        retry_in: If denied, seconds after which to request permission again.
     """
 
-    wait: float | None = None
-    again: float = 0.0
+    send_in: float | None = msgspec.field(default=None, name="wait")
+    retry_in: float = msgspec.field(default=0.0, name="again")
 
 
 class CountSend(msgspec.Struct, frozen=True, kw_only=True, tag=True):
@@ -486,7 +491,8 @@
         seconds: Duration of the planner lease, from the sending of the request.
         wait: Seconds that the holder waits before its first order.
         position: Position in the planner feed after these items.
-        fresh: Whether the items are the complete state and not a change to it.
+        is_complete_state: Whether the items are the complete state and not a
+            change to it.
         items: Planner feed items.
     """
 
@@ -495,7 +501,7 @@
     seconds: float = 0.0
     wait: float = 0.0
     position: Position = Position()
-    fresh: bool = False
+    is_complete_state: bool = msgspec.field(default=False, name="fresh")
     items: tuple[Fed, ...] = ()
 
 
@@ -505,16 +511,16 @@
     Attributes:
         target: Id of the target.
         number: Rises with each placement update of a lease holder.
-        closing: Models about to be unloaded.
+        unloading: Models about to be unloaded.
         adapters: Loaded adapters as `MODEL/ADAPTER`.
-        coming: Models that the target is loading.
+        loading: Models that the target is loading.
     """
 
     target: str
     number: int = 0
-    closing: tuple[str, ...] = ()
+    unloading: tuple[str, ...] = msgspec.field(default=(), name="closing")
     adapters: tuple[str, ...] = ()
-    coming: tuple[Coming, ...] = ()
+    loading: tuple[Coming, ...] = msgspec.field(default=(), name="coming")
 
 
 class TellNotices(msgspec.Struct, frozen=True, kw_only=True, tag=True):
--- a/packages/endivestream/src/endivestream/version/departures.py
+++ b/packages/endivestream/src/endivestream/version/departures.py
@@ -22,12 +22,13 @@
 
     Attributes:
         name: The target's id.
-        born: Start time of the process that deregistered, in milliseconds
-            of wall-clock time; None if the leader had no report of it yet.
+        started_at_ms: Start time of the process that deregistered, in
+            milliseconds of wall-clock time; None if the leader had no report of
+            it yet.
     """
 
     name: str
-    born: int | None
+    started_at_ms: int | None = msgspec.field(name="born")
 
 
 class Departed(msgspec.Struct, frozen=True, kw_only=True, tag=True):
@@ -44,19 +45,19 @@
         return f"<Departures of {len(self._start_times_ms)} targets>"
 
     @property
-    def born(self) -> dict[str, int | None]:
+    def start_times_ms(self) -> dict[str, int | None]:
         """Start time of the process that deregistered, by target name."""
         return dict(self._start_times_ms)
 
     def apply(self, command: Depart) -> Departed:
         """Applies a command in log order; deterministic on every replica."""
         previous = self._start_times_ms.pop(command.name, None)
-        starts = [s for s in (previous, command.born) if s is not None]
+        starts = [s for s in (previous, command.started_at_ms) if s is not None]
         self._start_times_ms[command.name] = max(starts) if starts else None
         while len(self._start_times_ms) > _MAX_DEPARTURES:
             del self._start_times_ms[next(iter(self._start_times_ms))]
         return Departed()
 
-    def restore(self, born: dict[str, int | None]) -> None:
-        """Replaces all departures with an earlier value of `born`."""
-        self._start_times_ms = dict(born)
+    def restore(self, start_times_ms: dict[str, int | None]) -> None:
+        """Replaces all departures with an earlier value of `start_times_ms`."""
+        self._start_times_ms = dict(start_times_ms)
--- a/packages/endivestream/src/endivestream/version/state.py
+++ b/packages/endivestream/src/endivestream/version/state.py
@@ -148,7 +148,7 @@
                 ledger=self.ledger.snapshot(),
                 credit=self.credit.snapshot(),
                 document=self.document.current,
-                departures=self.departures.born,
+                departures=self.departures.start_times_ms,
                 seat=self.planner_lease.record,
             )
         )
--- a/tests/leader_site.py
+++ b/tests/leader_site.py
@@ -212,7 +212,7 @@
             self.version = update.document.version
             self.version_at[self.version] = clock.now()
         self._apply_table(update)
-        has_departures = update.gone or any(
+        has_departures = update.removed_targets or any(
             t.registration.draining for t in update.targets
         )
         if update.document is None and not has_departures:
@@ -228,7 +228,7 @@
     def _apply_table(self, update):
         if update.position <= self.position:
             return
-        after = update.after
+        after = update.base_position
         if after is None:
             self.targets = {}
         elif (
@@ -238,7 +238,7 @@
             return
         for target in update.targets:
             self.targets[target.registration.name] = target
-        for name in update.gone:
+        for name in update.removed_targets:
             self.targets.pop(name, None)
         self.position = update.position
 
@@ -270,8 +270,8 @@
         )
         if isinstance(answer, site_messages.Renewed):
             self.lease_until = sent_at + answer.seconds
-            if answer.news:
-                self._apply_update(answer.news)
+            if answer.table_update:
+                self._apply_update(answer.table_update)
         return answer
 
 
@@ -362,7 +362,7 @@
     async def renew(self, host):
         """Renews a host; returns the interval set by the leader, if any."""
         answer = await host.renew()
-        return getattr(answer, "every", None)
+        return getattr(answer, "interval_seconds", None)
 
     def follow_relays(self):
         """Makes each host follow a relay of its failure domain."""
@@ -392,11 +392,11 @@
         answer = await host.ask(
             site_messages.AskSend(
                 limit=site_messages.RateLimit(target, 1, rate, 0.0),
-                patience=1.0,
+                max_wait_seconds=1.0,
             ),
             seconds=0.15,
         )
-        self.granted_sends += getattr(answer, "wait", None) is not None
+        self.granted_sends += getattr(answer, "send_in", None) is not None
 
     async def drain_target(self, target):
         """Drains a target; returns the time at which that was confirmed."""
@@ -420,8 +420,8 @@
             service="llm",
             address=f"{target}:1",
             domain="a",
-            born=1,
-            number=self._reports,
+            started_at_ms=1,
+            report_number=self._reports,
             draining=target in self._draining_targets,
             loaded=tuple(registry_lib.Loaded(model) for model in loaded),
         )
--- a/tests/placement_site.py
+++ b/tests/placement_site.py
@@ -114,8 +114,8 @@
             service=SERVICE,
             address=self.name,
             domain="a",
-            born=1,
-            number=self._report_number,
+            started_at_ms=1,
+            report_number=self._report_number,
             slots=64,
             loaded=self.held(),
             on_disk=tuple(self.on_disk),
@@ -213,7 +213,7 @@
             accepted=engine.accepted,
             busy=engine._busy,
             loaded=engine.held(),
-            coming=(),
+            loading=(),
         )
 
 
--- a/tests/test_credit_shares.py
+++ b/tests/test_credit_shares.py
@@ -125,14 +125,14 @@
         self.site.allocator.handle_report("h0", need, self.site.now)
         shared_max = self.site.allocator.handle_report(
             "h1", need, self.site.now
-        ).most
+        ).max_balance
         self.site.cut_off_hosts.add("h0")
         self._renew(40)
         self.site.cut_off_hosts.clear()
         self._renew(1)
         full_max = self.site.allocator.handle_report(
             "h1", need, self.site.now
-        ).most
+        ).max_balance
         self.assertGreater(full_max, 1.9 * shared_max)
 
     def test_a_late_grant_does_not_keep_an_idle_team_reported(self):
@@ -184,18 +184,18 @@
         self.report(RATE / 2)
         grants = [self.request_credit(0.0) for _ in range(15)]
         self.assertEqual([COST] * 15, [g.credit for g in grants])
-        delays = [grant.after for grant in grants]
+        delays = [grant.usable_in for grant in grants]
         self.assertEqual(sorted(set(delays)), delays)
         self.assertLessEqual(15 * COST / RATE, delays[-1])
         self.assertLessEqual(delays[-1], 2.0)
         # A later request waits behind them.
-        self.assertGreater(0.5 + self.request_credit(0.5).after, delays[-1])
+        self.assertGreater(0.5 + self.request_credit(0.5).usable_in, delays[-1])
 
     def test_reserved_credit_is_granted_only_once(self):
         """Guards against granting reserved credit to hosts that report."""
         self.report(RATE / 2)
         reserved = [self.request_credit(0.0) for _ in range(5)]
-        self.assertEqual(5, sum(g.after > 0 for g in reserved))
+        self.assertEqual(5, sum(g.usable_in > 0 for g in reserved))
         need = site_messages.Need("band", 0.0, 0.0, RATE)
         for now in (0.1, 0.3, 0.49):
             self.assertEqual(
@@ -219,10 +219,10 @@
         refused = [g for g in grants if not g.credit]
         self.assertTrue(reserved)
         self.assertLessEqual(len(reserved) * COST, 0.2 * RATE)
-        self.assertLessEqual(max(g.after for g in reserved), 0.2)
-        retry_after = [g.told for g in refused]
+        self.assertLessEqual(max(g.usable_in for g in reserved), 0.2)
+        retry_after = [g.retry_after for g in refused]
         self.assertEqual(sorted(set(retry_after)), retry_after)
-        self.assertTrue(all(g.short > 0 for g in refused))
+        self.assertTrue(all(g.available_in > 0 for g in refused))
 
     def test_small_requests_are_served_while_large_ones_use_up_the_rate(self):
         """Guards against refusing small requests behind large ones.
@@ -243,7 +243,7 @@
                     self.request_credit(now, timely_within=0.05, cost=COST / 10)
                 )
         self.assertEqual([COST / 10] * 5, [g.credit for g in small_grants])
-        self.assertLess(max(g.after for g in small_grants), 0.01)
+        self.assertLess(max(g.usable_in for g in small_grants), 0.01)
 
     def test_credit_for_small_requests_is_no_extra_credit(self):
         """Guards against granting the reserved credit on top of the burst."""
@@ -281,7 +281,7 @@
             grant = allocator.request_credit(
                 "h0", need, now, timely_within=0.0, max_wait_seconds=patience
             )
-            grants.append((now + grant.after, grant.credit))
+            grants.append((now + grant.usable_in, grant.credit))
             allocator.handle_report("h0", need._replace(wanted=0.0), now)
         grants.sort()
         for start, _ in grants:
@@ -437,7 +437,7 @@
         need = site_messages.Need("band", 0.0, 0.0, COST)
         grant = allocator.request_credit("h0", need, 0.0)
         self.assertEqual(grant.credit, 0.0)
-        self.assertAlmostEqual(grant.short, COST / RATE)
+        self.assertAlmostEqual(grant.available_in, COST / RATE)
 
     def test_credit_held_by_hosts_counts_as_part_of_the_bucket(self):
         """Guards against granting an idle team its burst and credit shares.
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -9,7 +9,9 @@
         self.departures = departures_lib.Departures()
 
     def _depart(self, name, born):
-        self.departures.apply(departures_lib.Depart(name=name, born=born))
+        self.departures.apply(
+            departures_lib.Depart(name=name, started_at_ms=born)
+        )
 
     def test_the_latest_start_time_is_kept(self):
         """Guards against a repeated departure that erases the start time.
@@ -20,19 +22,19 @@
         self._depart("t1", 7)
         self._depart("t1", None)
         self._depart("t1", 3)
-        self.assertEqual(self.departures.born, {"t1": 7})
+        self.assertEqual(self.departures.start_times_ms, {"t1": 7})
 
     def test_only_the_latest_departures_are_kept(self):
         for number in range(600):
             self._depart(f"t{number}", number)
-        self.assertEqual(len(self.departures.born), 512)
-        self.assertNotIn("t0", self.departures.born)
-        self.assertEqual(self.departures.born["t599"], 599)
+        self.assertEqual(len(self.departures.start_times_ms), 512)
+        self.assertNotIn("t0", self.departures.start_times_ms)
+        self.assertEqual(self.departures.start_times_ms["t599"], 599)
 
     def test_departures_are_part_of_a_snapshot(self):
         """Guards against a replica without departures after a snapshot."""
         state = state_lib.State()
-        state.apply(1, departures_lib.Depart(name="t1", born=None))
+        state.apply(1, departures_lib.Depart(name="t1", started_at_ms=None))
         other = state_lib.State()
         other.restore(state.snapshot())
-        self.assertEqual(other.departures.born, {"t1": None})
+        self.assertEqual(other.departures.start_times_ms, {"t1": None})
--- a/tests/test_entry_credit.py
+++ b/tests/test_entry_credit.py
@@ -24,12 +24,12 @@
         self.requests += 1
         if self.requests <= self.lost:
             return None
-        self.batch_sizes.append(len(message.asked))
+        self.batch_sizes.append(len(message.credit_requests))
         await asyncio.sleep(self.answer_seconds)
         return site_messages.GiveCredit(
             grants=tuple(
                 site_messages.Grant("band", each.need.wanted, 0.0, 0.0)
-                for each in message.asked
+                for each in message.credit_requests
             )
         )
 
--- a/tests/test_entry_site.py
+++ b/tests/test_entry_site.py
@@ -132,8 +132,8 @@
             service="desk",
             address=self.target.address,
             domain="a",
-            born=1,
-            number=number,
+            started_at_ms=1,
+            report_number=number,
             draining=draining,
         )
         control = list(self.controls.values())[-1]
--- a/tests/test_forward.py
+++ b/tests/test_forward.py
@@ -175,8 +175,8 @@
             service="desk",
             address=address,
             domain="a",
-            born=1,
-            number=1,
+            started_at_ms=1,
+            report_number=1,
             slots=fields.pop("slots", 8),
             loaded=fields.pop("loaded", ()),
         )
@@ -953,8 +953,8 @@
             service="desk",
             address=target.address,
             domain="a",
-            born=1,
-            number=2,
+            started_at_ms=1,
+            report_number=2,
             loaded=loaded,
         )
         self.view.set_targets(
@@ -1007,7 +1007,7 @@
         """
         self._serve_model()
         coming = (site_messages.Coming("m", 50.0),)
-        await self._start_target(standin.says(standin.answer()), coming=coming)
+        await self._start_target(standin.says(standin.answer()), loading=coming)
         reply = await self.caller.ask(X_Model="m", X_Deadline_Ms=9000)
         self.assertEqual(reply.status, 503)
         self.assertAlmostEqual(
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -197,7 +197,7 @@
         answer = await control.request_leader(
             messages.Watch(
                 host=control.host,
-                have=1,
+                config_version=1,
                 running=0,
             ),
             seconds=5,
@@ -205,7 +205,8 @@
         self.assertEqual(len(answer.update.keys), 302)
         view = configuration.ConfigurationView()
         complete = await control.request_leader(
-            messages.Watch(host=control.host, have=0, running=0), seconds=5
+            messages.Watch(host=control.host, config_version=0, running=0),
+            seconds=5,
         )
         view.update(complete.update)
         self.assertEqual(view.version, 303)
@@ -320,11 +321,11 @@
         """
         limiter = self.control.control.leader_role.limiter
         first = messages.Charge(
-            team="band", request="all", tokens=100_000, patience=5.0
+            team="band", request="all", tokens=100_000, max_wait_seconds=5.0
         )
         await limiter.charge(first)
         waiting = messages.Charge(
-            team="band", request="r", tokens=20_000, patience=10.0
+            team="band", request="r", tokens=20_000, max_wait_seconds=10.0
         )
         answers = await asyncio.gather(
             limiter.charge(waiting), limiter.charge(waiting)
@@ -350,7 +351,7 @@
                 team="band",
                 needs="brass",
                 tokens=1,
-                patience=1.0,
+                max_wait_seconds=1.0,
                 avoid=[],
                 host="gone",
             )
@@ -366,7 +367,7 @@
         """
         control = self.control.control
         charge = messages.Charge(
-            team="band", request="r", tokens=1, patience=1.0
+            team="band", request="r", tokens=1, max_wait_seconds=1.0
         )
         leads = [True]
         handle = control.leader_role.handle
--- a/tests/test_limited_hosts.py
+++ b/tests/test_limited_hosts.py
@@ -33,7 +33,7 @@
     """A target that returns a limit in its answers and records requests."""
 
     def __init__(self, rate):
-        self.born = 1
+        self.started_at_ms = 1
         self.rate = rate
         self.arrivals = []
 
@@ -44,8 +44,8 @@
             service="s",
             address="t1",
             domain="a",
-            born=self.born,
-            number=1,
+            started_at_ms=self.started_at_ms,
+            report_number=1,
         )
 
 
@@ -106,8 +106,8 @@
         if isinstance(answer, site_messages.Renewed):
             self._leader = leader
             self.sends.mark_reported()
-            if answer.news is not None:
-                self.apply_update(answer.news)
+            if answer.table_update is not None:
+                self.apply_update(answer.table_update)
 
     def apply_update(self, update):
         if self.is_cut_off or clock.now() < self.frozen_until:
@@ -130,7 +130,7 @@
         rate = target.rate
         await asyncio.sleep(TARGET_ANSWER_SECONDS)
         await self._wait_while_frozen()
-        if registration.born != target.born:
+        if registration.started_at_ms != target.started_at_ms:
             return
         if rate is not None:
             self.limit_seen_at = min(self.limit_seen_at, clock.now())
@@ -249,7 +249,7 @@
                     site.generate_requests(new, per_host, random_source)
                 )
             case "return":
-                site.target.born += 1
+                site.target.started_at_ms += 1
                 for host_to_reset in site.hosts:
                     host_to_reset.limit_seen_at = float("inf")
                 await site.report()
@@ -318,7 +318,7 @@
             5, hosts=8, rate=2.0, request_rate=100.0, change=remove_limit
         )
         for host in site.hosts:
-            self.assertIsNone(host.limits.rate("t1", site.target.born))
+            self.assertIsNone(host.limits.rate("t1", site.target.started_at_ms))
 
     def test_a_lowered_limit_is_kept_by_all_hosts(self):
         """Guards against hosts that continue to use a higher limit."""
@@ -353,7 +353,7 @@
             await site.hosts[0].send()
             await asyncio.sleep(1.0)
             before = dict(site.leader_role._rate_limits.rates)
-            site.target.born += 1
+            site.target.started_at_ms += 1
             await site.report()
             outdated = site_messages.RateLimit("t1", 1, 1.5, 0.0)
             site.leader_role._merge_rate_limits([outdated])
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -17,8 +17,8 @@
     adapter=WORDS,
     rate=st.floats(0.0, 1e3),
     waiting=st.integers(0, 99),
-    urgency=st.floats(0.0, 9.0),
-    unserved=st.floats(0.0, 99.0),
+    shortest_objective=st.floats(0.0, 9.0),
+    unserved_seconds=st.floats(0.0, 99.0),
 )
 
 
--- a/tests/test_planner_lease.py
+++ b/tests/test_planner_lease.py
@@ -205,12 +205,12 @@
         An item is appended between two requests of the holder.
         """
         answer = await self._request_lease("m1")
-        self.assertTrue(answer.fresh)
+        self.assertTrue(answer.is_complete_state)
         self.manager.forward_missing_models(
             site_messages.Missing(host="e1", demand=())
         )
         answer = await self._request_lease("m1", answer.position)
-        self.assertFalse(answer.fresh)
+        self.assertFalse(answer.is_complete_state)
         self.assertEqual(1, len(answer.items))
         answer = await self._request_lease("m1", answer.position)
         self.assertEqual((), answer.items)
@@ -230,7 +230,7 @@
                 site_messages.Missing(host="e1", demand=())
             )
         answer = await self._request_lease("m1", answer.position)
-        self.assertTrue(answer.fresh)
+        self.assertTrue(answer.is_complete_state)
         reports = [
             item
             for item in answer.items
@@ -252,12 +252,12 @@
         self.sessions["t1"] = registry_lib.Session(registration, 0.0)
         for number, closing in ((2, ("m",)), (1, ())):
             update = site_messages.Notice(
-                target="t1", number=number, closing=closing
+                target="t1", number=number, unloading=closing
             )
             self.manager.store_placement_updates(
                 site_messages.TellNotices(fence=fence, notices=(update,))
             )
-        self.assertEqual(("m",), self.manager.placement_update("t1").closing)
+        self.assertEqual(("m",), self.manager.placement_update("t1").unloading)
         self.assertEqual(["t1"], self.changed)
 
     async def test_a_lower_update_number_of_a_new_holder_is_accepted(self):
@@ -302,11 +302,11 @@
     async def test_a_placement_update_of_a_previous_holder_is_ignored(self):
         """Guards against decisions of a host that has lost the lease."""
         fence = (await self._request_lease("m1")).fence
-        update = site_messages.Notice(target="t1", number=9, closing=("m",))
+        update = site_messages.Notice(target="t1", number=9, unloading=("m",))
         self.manager.store_placement_updates(
             site_messages.TellNotices(fence=fence - 1, notices=(update,))
         )
-        self.assertEqual((), self.manager.placement_update("t1").closing)
+        self.assertEqual((), self.manager.placement_update("t1").unloading)
 
 
 class LeaseRecordTest(unittest.TestCase):
@@ -543,7 +543,7 @@
         for term in (1, 2):
             await self._put_answer(
                 position=site_messages.Position(term, 1),
-                fresh=True,
+                is_complete_state=True,
                 items=(report,),
             )
         await self._wait_until(
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -214,7 +214,7 @@
     def test_heartbeat_is_converted_field_by_field(self):
         registration = targets.read_beat("i-1", json.dumps(BEAT).encode())
         self.assertEqual(registration.name, "i-1")
-        self.assertEqual(registration.number, 4)
+        self.assertEqual(registration.report_number, 4)
         self.assertEqual(registration.loaded[0].adapters, ("a1",))
         self.assertEqual(registration.on_disk, ("m", "m3"))
         self.assertFalse(registration.draining)
@@ -223,7 +223,7 @@
         beat = BEAT | {"state": "draining", "remainingMs": 2500}
         registration = targets.read_beat("i-1", json.dumps(beat).encode())
         self.assertTrue(registration.draining)
-        self.assertEqual(registration.leaves_in, 2.5)
+        self.assertEqual(registration.shutdown_in, 2.5)
 
     def test_unknown_state_is_rejected_with_the_valid_states(self):
         beat = json.dumps(BEAT | {"state": "odd"}).encode()
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -5,10 +5,13 @@
 from hypothesis import strategies as st
 
 
-def make_registration(name="t1", born=1, number=1, **fields):
+def make_registration(name="t1", started_at_ms=1, report_number=1, **fields):
     given = {"service": "s", "address": "10.0.0.1:80", "domain": "a"}
     return registry_lib.Registration(
-        name=name, born=born, number=number, **(given | fields)
+        name=name,
+        started_at_ms=started_at_ms,
+        report_number=report_number,
+        **(given | fields),
     )
 
 
@@ -22,9 +25,11 @@
         An earlier report arrives through another host after the report with the
         drain.
         """
-        self.registry.note(make_registration(number=5, draining=True), 1.0)
+        self.registry.note(
+            make_registration(report_number=5, draining=True), 1.0
+        )
         self.assertEqual(
-            self.registry.note(make_registration(number=4), 2.0), []
+            self.registry.note(make_registration(report_number=4), 2.0), []
         )
         self.assertTrue(self.registry.find("t1").registration.draining)
 
@@ -33,10 +38,10 @@
 
         The target deregisters; then a report arrives that was sent before.
         """
-        self.registry.note(make_registration(number=5), 1.0)
+        self.registry.note(make_registration(report_number=5), 1.0)
         self.assertTrue(self.registry.leave("t1", 2.0))
         self.assertEqual(
-            self.registry.note(make_registration(number=6), 3.0), []
+            self.registry.note(make_registration(report_number=6), 3.0), []
         )
         self.assertIsNone(self.registry.find("t1"))
 
@@ -49,10 +54,13 @@
         self.assertFalse(self.registry.leave("t1", 1.0))
         self.assertEqual(self.registry.departed, ("t1",))
         self.assertEqual(
-            self.registry.note(make_registration(number=9), 2.0), []
+            self.registry.note(make_registration(report_number=9), 2.0), []
         )
         self.assertEqual(
-            self.registry.note(make_registration(born=5, number=1), 3.0), ["t1"]
+            self.registry.note(
+                make_registration(started_at_ms=5, report_number=1), 3.0
+            ),
+            ["t1"],
         )
         self.assertEqual(self.registry.departed, ())
 
@@ -61,8 +69,10 @@
 
         The log contains the departure of an earlier start of it.
         """
-        self.registry.note(make_registration(born=5, number=9), 1.0)
-        self.assertFalse(self.registry.leave("t1", 2.0, born=4))
+        self.registry.note(
+            make_registration(started_at_ms=5, report_number=9), 1.0
+        )
+        self.assertFalse(self.registry.leave("t1", 2.0, started_at_ms=4))
         self.assertIsNotNone(self.registry.find("t1"))
 
     def test_restart_under_same_name_is_not_taken_for_outdated(self):
@@ -70,13 +80,21 @@
 
         It has the same id as before, and its report numbers start again.
         """
-        self.registry.note(make_registration(born=1, number=90), 1.0)
+        self.registry.note(
+            make_registration(started_at_ms=1, report_number=90), 1.0
+        )
         self.assertEqual(
-            self.registry.note(make_registration(born=2, number=1), 2.0), ["t1"]
+            self.registry.note(
+                make_registration(started_at_ms=2, report_number=1), 2.0
+            ),
+            ["t1"],
         )
         self.registry.leave("t1", 3.0)
         self.assertEqual(
-            self.registry.note(make_registration(born=3, number=1), 4.0), ["t1"]
+            self.registry.note(
+                make_registration(started_at_ms=3, report_number=1), 4.0
+            ),
+            ["t1"],
         )
 
     def test_address_belongs_to_newest_start(self):
@@ -86,11 +104,15 @@
         partition; after the partition heals, the last report of the failed one
         arrives.
         """
-        self.registry.note(make_registration("old", born=1), 1.0)
-        changed = self.registry.note(make_registration("new", born=9), 2.0)
+        self.registry.note(make_registration("old", started_at_ms=1), 1.0)
+        changed = self.registry.note(
+            make_registration("new", started_at_ms=9), 2.0
+        )
         self.assertEqual(changed, ["new", "old"])
         self.assertEqual(
-            self.registry.note(make_registration("old", born=1, number=7), 3),
+            self.registry.note(
+                make_registration("old", started_at_ms=1, report_number=7), 3
+            ),
             [],
         )
         self.assertEqual(set(self.registry.sessions), {"new"})
@@ -111,7 +133,7 @@
         """Two leaders that heard the same in another order agree."""
         sent = {
             (born, number): make_registration(
-                born=born, number=number, draining=draining
+                started_at_ms=born, report_number=number, draining=draining
             )
             for born, number, draining in reports
         }
--- a/tests/test_site_planner.py
+++ b/tests/test_site_planner.py
@@ -147,7 +147,7 @@
             accepted=engine.accepted,
             busy=engine.busy,
             loaded=held(engine),
-            coming=(),
+            loading=(),
         )
 
 
@@ -218,8 +218,8 @@
                 service="s",
                 address=engine.name,
                 domain="a",
-                born=1,
-                number=self.numbers[engine.name],
+                started_at_ms=1,
+                report_number=self.numbers[engine.name],
                 loaded=held(engine),
                 on_disk=tuple("abcdef"),
             )
--- a/tests/test_table_updates.py
+++ b/tests/test_table_updates.py
@@ -32,7 +32,7 @@
 
 def target(name, number):
     registration = registry_lib.Registration(
-        name=name, service="llm", address=name, domain="a", number=number
+        name=name, service="llm", address=name, domain="a", report_number=number
     )
     return site_messages.Target(registration=registration)
 
@@ -128,9 +128,11 @@
                     leader.updates.start()
             for known in entry._view.targets.values():
                 before = last_numbers.get(known.registration.name, 0)
-                self.assertGreaterEqual(known.registration.number, before)
+                self.assertGreaterEqual(
+                    known.registration.report_number, before
+                )
                 last_numbers[known.registration.name] = (
-                    known.registration.number
+                    known.registration.report_number
                 )
         await asyncio.sleep(0.3)
         self._send_renewal(leader, entry)
@@ -177,7 +179,7 @@
         self.assertLessEqual(len(pushed), seconds * 0.2 / 0.02 + 2)
         self.assertEqual(
             {
-                t.registration.name: t.registration.number
+                t.registration.name: t.registration.report_number
                 for t in pushed[-1].targets
             },
             {"t0": 599, "t1": 600},
@@ -201,7 +203,9 @@
         leader.change("t0", removed=True)
         leader.change("t1")
         leader.updates.retain_targets({"t1"})
-        self.assertIsNone(leader.updates.update_since(old_position).after)
+        self.assertIsNone(
+            leader.updates.update_since(old_position).base_position
+        )
         update = leader.updates.update_since(
             leader.updates.position._replace(number=2)
         )
--- a/tests/test_target_selection.py
+++ b/tests/test_target_selection.py
@@ -11,7 +11,7 @@
     loaded = tuple(registry_lib.Loaded(model) for model in models)
     registration = test_registry.make_registration(
         name,
-        number=number,
+        report_number=number,
         domain=domain,
         address=f"10.0.0.1:{hash(name) % 1000}",
         loaded=loaded,
@@ -57,7 +57,7 @@
         self.assertEqual(self._pick(model="m", adapter="x"), "no_adapter")
 
     def test_model_about_to_unload_gets_no_requests(self):
-        closing = target("t1", models=["m"], closing=("m",))
+        closing = target("t1", models=["m"], unloading=("m",))
         self.view.set_targets([closing], [])
         self.assertEqual(self._pick(model="m"), "no_model")
 
@@ -235,7 +235,7 @@
         self.view.set_targets([target("t1", models=["m"])], [])
         self._send("t1", model="m")
         self._send("t1", model="m", adapter="x")
-        closing = target("t1", models=["m"], closing=("m",), number=2)
+        closing = target("t1", models=["m"], unloading=("m",), number=2)
         self.view.set_targets([closing], [])
         self.assertFalse(self._end("t1", 1.0, model="m"))
         self.assertTrue(self._end("t1", 1.0, model="m", adapter="x"))
