--- a/benchmarks/capacity/control.py
+++ b/benchmarks/capacity/control.py
@@ -152,8 +152,8 @@
             ),
             seconds=5,
         )
-        ending = messages.Ending(request=name, team="team1", used=1)
-        await link.request(messages.Endings(endings=[ending]), seconds=5)
+        ending = messages.Completion(request=name, team="team1", used=1)
+        await link.request(messages.Endings(completions=[ending]), seconds=5)
 
     return await _measure_rates(driver, (100, 200, 400, 800), work)
 
@@ -194,8 +194,8 @@
             ),
             seconds=6,
         )
-        ending = messages.Ending(request=name, team="", used=100)
-        await link.request(messages.Endings(endings=[ending]), seconds=5)
+        ending = messages.Completion(request=name, team="", used=100)
+        await link.request(messages.Endings(completions=[ending]), seconds=5)
 
     result = await _measure_rates(driver, (50, 100, 200, 400), work)
     stop.set()
--- a/packages/endivestream/src/endivestream/messages.py
+++ b/packages/endivestream/src/endivestream/messages.py
@@ -180,7 +180,7 @@
     waited: float
 
 
-class Ending(msgspec.Struct, frozen=True, kw_only=True):
+class Completion(msgspec.Struct, frozen=True, kw_only=True):
     """Completion of an attempt; returns its unused credit and its ticket.
 
     Attributes:
@@ -205,10 +205,10 @@
     Idempotent; resent until answered.
 
     Attributes:
-        endings: The completions.
+        completions: The completions.
     """
 
-    endings: list[Ending]
+    completions: list[Completion] = msgspec.field(name="endings")
 
 
 class Noted(msgspec.Struct, frozen=True, kw_only=True, tag=True):
--- a/packages/endivestream/src/endivestream/process/credit_requests.py
+++ b/packages/endivestream/src/endivestream/process/credit_requests.py
@@ -36,7 +36,7 @@
         answer: Set to the grant, or to None if the leader did not answer.
     """
 
-    wanted: site_messages.CreditAsk
+    wanted: site_messages.CreditRequest
     answer: asyncio.Future[site_messages.Grant | None]
 
 
@@ -65,7 +65,7 @@
         self._in_flight: set[asyncio.Task[None]] = set()
 
     async def request(
-        self, wanted: site_messages.CreditAsk
+        self, wanted: site_messages.CreditRequest
     ) -> site_messages.Grant | None:
         """Requests credit; returns None if the leader did not answer."""
         answer = asyncio.get_running_loop().create_future()
--- a/packages/endivestream/src/endivestream/process/dispatcher.py
+++ b/packages/endivestream/src/endivestream/process/dispatcher.py
@@ -251,7 +251,7 @@
             reason=grant.reason,
         )
 
-    def complete_request(self, completion: messages.Ending) -> None:
+    def complete_request(self, completion: messages.Completion) -> None:
         """Releases the slot of a completed request. Idempotent."""
         now = time.monotonic()
         self._completed_requests[completion.request] = None
--- a/packages/endivestream/src/endivestream/process/entry_credit.py
+++ b/packages/endivestream/src/endivestream/process/entry_credit.py
@@ -101,7 +101,7 @@
         balance = self._credit_shares.balance(team)
         need = site_messages.Need(team, 0.0, balance, cost)
         grant = await self._credit_requester.request(
-            site_messages.CreditAsk(need, timely_within, patience)
+            site_messages.CreditRequest(need, timely_within, patience)
         )
         if grant is None:
             # Without a leader, the call above returns immediately.
--- a/packages/endivestream/src/endivestream/process/gateway.py
+++ b/packages/endivestream/src/endivestream/process/gateway.py
@@ -95,7 +95,7 @@
         self._sequence = itertools.count(1)
         self._renewal_due = asyncio.Event()
         self._leader_listeners: list[Callable[[], None]] = []
-        self._completions: list[messages.Ending] = []
+        self._completions: list[messages.Completion] = []
         self._commands: list[state_lib.Command] = []
         self._completion_queued = asyncio.Event()
         self._link = leader_link.LeaderLink(
@@ -375,7 +375,7 @@
         self._commands.append(command)
         self._completion_queued.set()
 
-    def complete_request(self, ending: messages.Ending) -> None:
+    def complete_request(self, ending: messages.Completion) -> None:
         """Queues a completion, which is sent until the leader receives it.
 
         The leader then releases the request's unused credit and its place.
@@ -406,7 +406,7 @@
         batch = list(self._completions)
         if batch:
             await self.request_leader(
-                messages.Endings(endings=batch),
+                messages.Endings(completions=batch),
                 seconds=self._settings.peers.request_seconds,
             )
             del self._completions[: len(batch)]
--- a/packages/endivestream/src/endivestream/process/handlers.py
+++ b/packages/endivestream/src/endivestream/process/handlers.py
@@ -258,7 +258,7 @@
                 cost = used()
         finally:
             self.gateway.complete_request(
-                messages.Ending(request=request, team=team, used=cost)
+                messages.Completion(request=request, team=team, used=cost)
             )
 
     def attempts(self, work: attempts_lib.AttemptWork) -> attempts_lib.Attempts:
--- a/packages/endivestream/src/endivestream/process/leader.py
+++ b/packages/endivestream/src/endivestream/process/leader.py
@@ -217,7 +217,7 @@
                 return await self._renew_lease(peer, message)
             case messages.Charge():
                 return await self.limiter.charge(message)
-            case messages.Endings(endings=completions):
+            case messages.Endings(completions=completions):
                 for completion in completions:
                     self.limiter.complete_charge(completion)
                     self.dispatcher.complete_request(completion)
--- a/packages/endivestream/src/endivestream/process/limiter.py
+++ b/packages/endivestream/src/endivestream/process/limiter.py
@@ -163,7 +163,7 @@
             self._waiting_charges.pop(message.request, None)
         return messages.Charged(waited=(_now_us() - started_at) / 1e6)
 
-    def complete_charge(self, completion: messages.Ending) -> None:
+    def complete_charge(self, completion: messages.Completion) -> None:
         """Returns unused credit and cancels a charge that still waits."""
         bucket = self._buckets.get(completion.team)
         if bucket is None:
--- a/packages/endivestream/src/endivestream/process/planner.py
+++ b/packages/endivestream/src/endivestream/process/planner.py
@@ -268,13 +268,15 @@
         worker = self._workers.get(target)
         return tuple(sorted(worker.closing)) if worker else ()
 
-    def pending_loads(self, target: str) -> tuple[site_messages.Coming, ...]:
+    def pending_loads(
+        self, target: str
+    ) -> tuple[site_messages.LoadingModel, ...]:
         """Returns the models being loaded on a target, with the time left."""
         worker = self._workers.get(target)
         if worker is None or worker.step is None:
             return ()
         remaining = max(0.0, worker.expected_ready_at - clock.now())
-        return (site_messages.Coming(worker.step.model, remaining),)
+        return (site_messages.LoadingModel(worker.step.model, remaining),)
 
     def usable_adapters(self, target: str) -> tuple[str, ...]:
         """Returns the adapters usable on a target, as `MODEL/ADAPTER`."""
--- a/packages/endivestream/src/endivestream/process/planner_lease_holder.py
+++ b/packages/endivestream/src/endivestream/process/planner_lease_holder.py
@@ -173,37 +173,37 @@
     def _start_full_feed(
         self,
         planner: planner_lib.Planner,
-        items: Iterable[site_messages.Fed],
+        items: Iterable[site_messages.PlannerFeedItem],
     ) -> None:
         """Removes hosts that are missing from a full feed."""
         listed_hosts = {
             item.host
             for item in items
-            if isinstance(item, site_messages.FedDemand)
+            if isinstance(item, site_messages.FeedDemand)
         }
         for host in self._known_hosts - listed_hosts:
             planner.remove_host(host)
         self._known_hosts = listed_hosts
 
     def _apply_feed_item(
-        self, planner: planner_lib.Planner, item: site_messages.Fed
+        self, planner: planner_lib.Planner, item: site_messages.PlannerFeedItem
     ) -> None:
         match item:
-            case site_messages.FedDemand(host=host):
+            case site_messages.FeedDemand(host=host):
                 self._known_hosts.add(host)
                 planner.replace_demand(host, item.demand)
                 planner.replace_uses(host, item.uses)
                 planner.replace_failing_targets(host, item.failing)
             case site_messages.Missing(host=host, demand=demand):
                 planner.add_waiting_demand(host, demand)
-            case site_messages.FedGone(host=host):
+            case site_messages.FeedHostRemoved(host=host):
                 self._known_hosts.discard(host)
                 planner.remove_host(host)
-            case site_messages.FedReport(registration=registration):
+            case site_messages.FeedTargetReport(registration=registration):
                 planner.apply_report(registration)
-            case site_messages.FedLimits(rates=rates):
+            case site_messages.FeedRateLimits(rates=rates):
                 planner.set_rate_limits(rates)
-            case site_messages.FedTargets():
+            case site_messages.FeedTargets():
                 planner.set_targets(
                     item.names, set(item.silent), complete=item.complete
                 )
@@ -224,7 +224,7 @@
             return
         self._update_number += 1
         updates = tuple(
-            site_messages.Notice(
+            site_messages.PlacementUpdate(
                 target=target,
                 number=self._update_number,
                 unloading=planner.closing_models(target),
@@ -233,7 +233,9 @@
             )
             for target in targets
         )
-        message = site_messages.TellNotices(fence=self._fence, notices=updates)
+        message = site_messages.TellNotices(
+            fence=self._fence, placement_updates=updates
+        )
         self._run_in_background(self._send_to_leader(message))
 
     def _run_in_background(
@@ -247,5 +249,7 @@
         answer = await self._call(message, seconds=_UPDATE_TIMEOUT_SECONDS)
         if not isinstance(answer, site_messages.Registered):
             # The next leader receives the updates of all targets.
-            names = ",".join(update.target for update in message.notices)
+            names = ",".join(
+                update.target for update in message.placement_updates
+            )
             logs.warn("notices_unheard", targets=names)
--- a/packages/endivestream/src/endivestream/process/planner_lease_manager.py
+++ b/packages/endivestream/src/endivestream/process/planner_lease_manager.py
@@ -74,12 +74,12 @@
         # sender. Numbers start at the sender's boot clock, so they are
         # comparable only under the same token.
         self._placement_updates: dict[
-            str, tuple[int, site_messages.Notice]
+            str, tuple[int, site_messages.PlacementUpdate]
         ] = {}
-        self._demand_by_host: dict[str, site_messages.FedDemand] = {}
-        self._target_list = site_messages.FedTargets()
-        self._rate_limits = site_messages.FedLimits(rates={})
-        self._feed_items: list[site_messages.Fed] = []
+        self._demand_by_host: dict[str, site_messages.FeedDemand] = {}
+        self._target_list = site_messages.FeedTargets()
+        self._rate_limits = site_messages.FeedRateLimits(rates={})
+        self._feed_items: list[site_messages.PlannerFeedItem] = []
         # Number of the first feed item that is kept.
         self._first_number = 1
         self._feed_changed = asyncio.Event()
@@ -104,7 +104,7 @@
 
     def forward_report(self, registration: registry_lib.Registration) -> None:
         """Forwards a target's report."""
-        self._append(site_messages.FedReport(registration=registration))
+        self._append(site_messages.FeedTargetReport(registration=registration))
 
     def set_targets(self, silent: Iterable[str], *, complete: bool) -> None:
         """Forwards the list of targets.
@@ -119,7 +119,7 @@
             # one that has not yet reported to this leader.
             for name in self._placement_updates.keys() - names:
                 del self._placement_updates[name]
-        targets = site_messages.FedTargets(
+        targets = site_messages.FeedTargets(
             names=tuple(sorted(names)),
             silent=tuple(sorted(silent)),
             complete=complete,
@@ -130,14 +130,14 @@
 
     def set_rate_limits(self, rates: dict[str, float]) -> None:
         """Forwards the rate limits of targets."""
-        self._rate_limits = site_messages.FedLimits(rates=rates)
+        self._rate_limits = site_messages.FeedRateLimits(rates=rates)
         self._append(self._rate_limits)
 
     def forward_demand(self, message: site_messages.Renew) -> None:
         """Forwards the demand and uses counted by an entry host."""
         host = message.host.name
         self._uses.note(host, message.uses)
-        demand = site_messages.FedDemand(
+        demand = site_messages.FeedDemand(
             host=host,
             demand=message.demand,
             uses=message.uses,
@@ -155,9 +155,9 @@
         """Removes an expired entry host and its demand."""
         self._uses.forget(host)
         if self._demand_by_host.pop(host, None) is not None:
-            self._append(site_messages.FedGone(host=host))
+            self._append(site_messages.FeedHostRemoved(host=host))
 
-    def _append(self, item: site_messages.Fed) -> None:
+    def _append(self, item: site_messages.PlannerFeedItem) -> None:
         self._feed_items.append(item)
         if len(self._feed_items) > _MAX_FEED_ITEMS:
             dropped = len(self._feed_items) // 2
@@ -175,11 +175,11 @@
         """Returns the load of each target from all entry hosts."""
         return self._uses.total_loads()
 
-    def placement_update(self, target: str) -> site_messages.Notice:
+    def placement_update(self, target: str) -> site_messages.PlacementUpdate:
         """Returns the last placement update of a target."""
         if target in self._placement_updates:
             return self._placement_updates[target][1]
-        return site_messages.Notice(target=target)
+        return site_messages.PlacementUpdate(target=target)
 
     def store_placement_updates(
         self, message: site_messages.TellNotices
@@ -188,7 +188,7 @@
         if message.fence != self._lease_record.fence:
             return
         updated = []
-        for update in message.notices:
+        for update in message.placement_updates:
             current_fence, current = self._placement_updates.get(
                 update.target, (-1, update)
             )
@@ -238,13 +238,13 @@
 
     def _items_after(
         self, position: site_messages.Position
-    ) -> list[site_messages.Fed]:
+    ) -> list[site_messages.PlannerFeedItem]:
         return self._feed_items[position.number + 1 - self._first_number :]
 
-    def _full_feed(self) -> list[site_messages.Fed]:
+    def _full_feed(self) -> list[site_messages.PlannerFeedItem]:
         """Returns the full feed for a holder without state."""
         reports = [
-            site_messages.FedReport(registration=session.registration)
+            site_messages.FeedTargetReport(registration=session.registration)
             for session in self._sessions().values()
         ]
         return [
--- a/packages/endivestream/src/endivestream/process/site_leader.py
+++ b/packages/endivestream/src/endivestream/process/site_leader.py
@@ -336,7 +336,7 @@
             self._table_updates.record_targets(reported)
 
     def _grant_credit(
-        self, host: str, request: site_messages.CreditAsk
+        self, host: str, request: site_messages.CreditRequest
     ) -> site_messages.Grant:
         need = request.need
         grant = self._credit_allocator.request_credit(
--- a/packages/endivestream/src/endivestream/request/attempts.py
+++ b/packages/endivestream/src/endivestream/request/attempts.py
@@ -123,7 +123,7 @@
     ) -> None:
         """Releases the ticket of the current attempt."""
         self._gateway.complete_request(
-            messages.Ending(
+            messages.Completion(
                 request=self.name,
                 team="",
                 used=used,
--- a/packages/endivestream/src/endivestream/site_messages.py
+++ b/packages/endivestream/src/endivestream/site_messages.py
@@ -123,7 +123,7 @@
     retry_after: float = 0.0
 
 
-class Coming(NamedTuple):
+class LoadingModel(NamedTuple):
     """A model that a target is loading.
 
     Attributes:
@@ -152,7 +152,7 @@
     unloading: tuple[str, ...] = msgspec.field(default=(), name="closing")
     adapters: tuple[str, ...] = ()
     reports_overdue: bool = msgspec.field(default=False, name="silent")
-    loading: tuple[Coming, ...] = msgspec.field(default=(), name="coming")
+    loading: tuple[LoadingModel, ...] = msgspec.field(default=(), name="coming")
 
 
 class RateLimit(NamedTuple):
@@ -300,7 +300,7 @@
     relays: bool
 
 
-class CreditAsk(NamedTuple):
+class CreditRequest(NamedTuple):
     """Request for credit for one waiting request of a caller.
 
     Attributes:
@@ -324,7 +324,7 @@
     """
 
     host: str
-    credit_requests: tuple[CreditAsk, ...] = msgspec.field(name="asked")
+    credit_requests: tuple[CreditRequest, ...] = msgspec.field(name="asked")
 
 
 class GiveCredit(msgspec.Struct, frozen=True, kw_only=True, tag=True):
@@ -405,7 +405,7 @@
     demand: tuple[Demand, ...]
 
 
-class FedDemand(msgspec.Struct, frozen=True, kw_only=True, tag=True):
+class FeedDemand(msgspec.Struct, frozen=True, kw_only=True, tag="FedDemand"):
     """Planner feed item: demand and use reported by an entry host.
 
     Attributes:
@@ -422,7 +422,7 @@
     failing: tuple[str, ...] = ()
 
 
-class FedGone(msgspec.Struct, frozen=True, kw_only=True, tag=True):
+class FeedHostRemoved(msgspec.Struct, frozen=True, kw_only=True, tag="FedGone"):
     """Planner feed item: an entry host was removed.
 
     Attributes:
@@ -432,7 +432,9 @@
     host: str
 
 
-class FedReport(msgspec.Struct, frozen=True, kw_only=True, tag=True):
+class FeedTargetReport(
+    msgspec.Struct, frozen=True, kw_only=True, tag="FedReport"
+):
     """Planner feed item: a target's own report.
 
     Attributes:
@@ -442,7 +444,7 @@
     registration: registry_lib.Registration = msgspec.field(name="said")
 
 
-class FedTargets(msgspec.Struct, frozen=True, kw_only=True, tag=True):
+class FeedTargets(msgspec.Struct, frozen=True, kw_only=True, tag="FedTargets"):
     """Planner feed item: the targets in the leader's table.
 
     Attributes:
@@ -456,7 +458,9 @@
     complete: bool = False
 
 
-class FedLimits(msgspec.Struct, frozen=True, kw_only=True, tag=True):
+class FeedRateLimits(
+    msgspec.Struct, frozen=True, kw_only=True, tag="FedLimits"
+):
     """Planner feed item: rate limits of targets.
 
     Attributes:
@@ -466,7 +470,14 @@
     rates: dict[str, float]
 
 
-Fed = FedDemand | FedGone | FedReport | FedTargets | FedLimits | Missing
+PlannerFeedItem = (
+    FeedDemand
+    | FeedHostRemoved
+    | FeedTargetReport
+    | FeedTargets
+    | FeedRateLimits
+    | Missing
+)
 
 
 class AskSeat(msgspec.Struct, frozen=True, kw_only=True, tag=True):
@@ -502,10 +513,10 @@
     wait: float = 0.0
     position: Position = Position()
     is_complete_state: bool = msgspec.field(default=False, name="fresh")
-    items: tuple[Fed, ...] = ()
+    items: tuple[PlannerFeedItem, ...] = ()
 
 
-class Notice(msgspec.Struct, frozen=True, kw_only=True):
+class PlacementUpdate(msgspec.Struct, frozen=True, kw_only=True):
     """Placement update: the planner's decision about a target.
 
     Attributes:
@@ -520,7 +531,7 @@
     number: int = 0
     unloading: tuple[str, ...] = msgspec.field(default=(), name="closing")
     adapters: tuple[str, ...] = ()
-    loading: tuple[Coming, ...] = msgspec.field(default=(), name="coming")
+    loading: tuple[LoadingModel, ...] = msgspec.field(default=(), name="coming")
 
 
 class TellNotices(msgspec.Struct, frozen=True, kw_only=True, tag=True):
@@ -528,11 +539,13 @@
 
     Attributes:
         fence: Fencing token of the lease holder that made the decisions.
-        notices: One placement update for each target concerned.
+        placement_updates: One placement update for each target concerned.
     """
 
     fence: int
-    notices: tuple[Notice, ...]
+    placement_updates: tuple[PlacementUpdate, ...] = msgspec.field(
+        name="notices"
+    )
 
 
 class AskTurn(msgspec.Struct, frozen=True, kw_only=True, tag=True):
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -343,7 +343,7 @@
         await self.add_engine("e1")
         dispatcher = self.control.control.leader_role.dispatcher
         dispatcher.complete_request(
-            messages.Ending(request="r.1", team="", used=0)
+            messages.Completion(request="r.1", team="", used=0)
         )
         answer = await dispatcher.request_ticket(
             messages.AskTicket(
--- a/tests/test_planner_lease.py
+++ b/tests/test_planner_lease.py
@@ -234,7 +234,7 @@
         reports = [
             item
             for item in answer.items
-            if isinstance(item, site_messages.FedReport)
+            if isinstance(item, site_messages.FeedTargetReport)
         ]
         self.assertEqual(
             [registration], [item.registration for item in reports]
@@ -251,11 +251,13 @@
         )
         self.sessions["t1"] = registry_lib.Session(registration, 0.0)
         for number, closing in ((2, ("m",)), (1, ())):
-            update = site_messages.Notice(
+            update = site_messages.PlacementUpdate(
                 target="t1", number=number, unloading=closing
             )
             self.manager.store_placement_updates(
-                site_messages.TellNotices(fence=fence, notices=(update,))
+                site_messages.TellNotices(
+                    fence=fence, placement_updates=(update,)
+                )
             )
         self.assertEqual(("m",), self.manager.placement_update("t1").unloading)
         self.assertEqual(["t1"], self.changed)
@@ -294,17 +296,23 @@
         self.assertEqual((), self.manager.placement_update("t1").adapters)
 
     def _send_update(self, fence, number, **fields):
-        update = site_messages.Notice(target="t1", number=number, **fields)
+        update = site_messages.PlacementUpdate(
+            target="t1", number=number, **fields
+        )
         self.manager.store_placement_updates(
-            site_messages.TellNotices(fence=fence, notices=(update,))
+            site_messages.TellNotices(fence=fence, placement_updates=(update,))
         )
 
     async def test_a_placement_update_of_a_previous_holder_is_ignored(self):
         """Guards against decisions of a host that has lost the lease."""
         fence = (await self._request_lease("m1")).fence
-        update = site_messages.Notice(target="t1", number=9, unloading=("m",))
+        update = site_messages.PlacementUpdate(
+            target="t1", number=9, unloading=("m",)
+        )
         self.manager.store_placement_updates(
-            site_messages.TellNotices(fence=fence - 1, notices=(update,))
+            site_messages.TellNotices(
+                fence=fence - 1, placement_updates=(update,)
+            )
         )
         self.assertEqual((), self.manager.placement_update("t1").unloading)
 
@@ -539,7 +547,7 @@
         registration = registry_lib.Registration(
             name="t1", service="s", address="a", domain="d"
         )
-        report = site_messages.FedReport(registration=registration)
+        report = site_messages.FeedTargetReport(registration=registration)
         for term in (1, 2):
             await self._put_answer(
                 position=site_messages.Position(term, 1),
@@ -550,7 +558,7 @@
             lambda: (
                 sum(
                     isinstance(m, site_messages.TellNotices)
-                    and [n.target for n in m.notices] == ["t1"]
+                    and [n.target for n in m.placement_updates] == ["t1"]
                     for m in self.sent
                 )
                 == 2
