--- a/packages/endivestream/src/endivestream/process/control.py
+++ b/packages/endivestream/src/endivestream/process/control.py
@@ -198,22 +198,24 @@
             name=self._settings.host.name,
             address=self.address,
             timing=protocol.Timing(
-                heartbeat=timing.election_seconds / 5,
-                election=timing.election_seconds,
+                heartbeat_seconds=timing.election_seconds / 5,
+                election_seconds=timing.election_seconds,
                 # Leases of two leaders do not overlap if clocks drift by
                 # less than a tenth during one election timeout; the drift
                 # of real clocks is far smaller.
-                lease=timing.election_seconds * 0.9,
+                lease_seconds=timing.election_seconds * 0.9,
             ),
             send=self._send,
             on_applied=self._on_applied,
             on_restored=self._restart_credit_refill,
-            on_role=self._on_role,
+            on_leadership_changed=self._on_role,
             on_failed=self._on_failed,
         )
         if form and not founders:
             form = not await self._system_exists()
-        self._replicator.start(form=form, alone=alone, founders=founders)
+        self._replicator.start(
+            bootstrap=form, sole_voter=alone, founders=founders
+        )
         self._restart_credit_refill()
         self._join_task = tasks.start(self._join(), "join")
 
@@ -329,7 +331,7 @@
     async def _call_once(
         self, message: messages.Message, remaining: float
     ) -> messages.Message | None:
-        if self.replicator.leads:
+        if self.replicator.is_leader:
             return await self._handle(b"", message)
         address = self.replicator.leader_address
         if not address:
@@ -383,13 +385,13 @@
             attempt += 1
             try:
                 answer = await self._link(address).request(
-                    messages.Join(member=self.replicator.me),
+                    messages.Join(member=self.replicator.own_member),
                     seconds=_JOIN_INTERVAL_SECONDS,
                 )
                 leader = getattr(answer, "address", "")
                 if leader:
                     await self._link(leader).request(
-                        messages.Join(member=self.replicator.me),
+                        messages.Join(member=self.replicator.own_member),
                         seconds=_JOIN_INTERVAL_SECONDS,
                     )
             except links.LinkDownError as error:
@@ -405,7 +407,7 @@
                 )
             return None
         leader_role = self._leader_role
-        if leader_role is None or not self.replicator.leads:
+        if leader_role is None or not self.replicator.is_leader:
             address = self.replicator.leader_address
             members = len(self.replicator.replica.members.all)
             return messages.NotLeader(address=address, members=members)
@@ -427,7 +429,7 @@
                     return messages.Status(body=msgspec.json.encode(view_data))
                 case _:
                     answer = await leader_role.handle(peer, message)
-                    if not self.replicator.leads:
+                    if not self.replicator.is_leader:
                         # While the handler waited, perhaps with the process
                         # suspended, another host became leader. Credit or a
                         # queue place granted here would be granted twice.
@@ -435,5 +437,5 @@
                     return answer
         except replicate.NotLeaderError as error:
             return messages.NotLeader(address=error.address)
-        except (replicate.LostError, OSError):
+        except (replicate.LeadershipLostError, OSError):
             return messages.Lost()
--- a/packages/endivestream/src/endivestream/process/leader.py
+++ b/packages/endivestream/src/endivestream/process/leader.py
@@ -132,7 +132,11 @@
             result = await self._replicator.propose(
                 credit_lib.SetAside(term=self._replicator.term, levels=levels)
             )
-        except (replicate.NotLeaderError, replicate.LostError, OSError):
+        except (
+            replicate.NotLeaderError,
+            replicate.LeadershipLostError,
+            OSError,
+        ):
             return False
         return isinstance(result, credit_lib.DoneSettingAside) and (
             result.accepted
@@ -152,7 +156,7 @@
                     "host_expired", peer=host.name, slots_released=released
                 )
             with contextlib.suppress(
-                replicate.NotLeaderError, replicate.LostError, OSError
+                replicate.NotLeaderError, replicate.LeadershipLostError, OSError
             ):
                 await self._abandon_calls_of_expired_hosts(now)
                 if now > expire_at and len(self._replicator.state.calls):
@@ -276,7 +280,7 @@
         return self._lease_answer(message)
 
     def _lease_answer(self, message: messages.Watch) -> messages.Message:
-        if not self._replicator.leads:
+        if not self._replicator.is_leader:
             # Another leader may have committed a newer configuration.
             return messages.NotLeader(address="")
         configuration = self._replicator.state.configuration
--- a/packages/endivestream/src/endivestream/process/membership_manager.py
+++ b/packages/endivestream/src/endivestream/process/membership_manager.py
@@ -158,7 +158,8 @@
             m
             for m in members.voters
             if joining.get(m.name, m.identity) != m.identity
-            and replica.silent_for(m.identity) > self._superseded_seconds
+            and replica.seconds_since_reply(m.identity)
+            > self._superseded_seconds
         ]
 
     def _failed_voters(
@@ -171,7 +172,7 @@
             for m in members.voters
             if m.identity in self._to_remove
             or m in self._superseded(members)
-            or replica.silent_for(m.identity) > self._replace_seconds
+            or replica.seconds_since_reply(m.identity) > self._replace_seconds
         ]
 
     def _removal(self, members: members_lib.Members) -> _Change | None:
@@ -189,7 +190,9 @@
                 )
         for member in members.learners:
             is_expired = member.identity not in self._join_requests
-            silent = self._replicator.replica.silent_for(member.identity)
+            silent = self._replicator.replica.seconds_since_reply(
+                member.identity
+            )
             if is_expired and silent > _JOIN_EXPIRY_SECONDS:
                 return _Change(
                     "removed", member, members.without(member.identity)
@@ -203,16 +206,17 @@
         return [
             m
             for m in members.learners
-            if replica.matched(m.identity) + _MAX_LAG_ENTRIES >= replica.commit
-            and replica.matched(m.identity) > 0
-            and replica.silent_for(m.identity) < 1.0
+            if replica.match_index(m.identity) + _MAX_LAG_ENTRIES
+            >= replica.commit
+            and replica.match_index(m.identity) > 0
+            and replica.seconds_since_reply(m.identity) < 1.0
         ]
 
     def _promotion(self, members: members_lib.Members) -> _Change | None:
         healthy_count = len(members.voters) - len(self._failed_voters(members))
         for member in self._caught_up(members):
             if healthy_count < self._wanted:
-                changed = members.promoted(member.identity)
+                changed = members.with_promoted(member.identity)
                 return _Change("promoted", member, changed)
         return None
 
--- a/packages/endivestream/src/endivestream/process/placer.py
+++ b/packages/endivestream/src/endivestream/process/placer.py
@@ -68,7 +68,10 @@
             await asyncio.sleep(self._plan_seconds)
             try:
                 await self._run_round()
-            except (replicate.NotLeaderError, replicate.LostError) as error:
+            except (
+                replicate.NotLeaderError,
+                replicate.LeadershipLostError,
+            ) as error:
                 # The next leader plans from the ledger. It sends the orders of
                 # all intents that were committed.
                 logs.warn("plan_stopped", why=error)
--- a/packages/endivestream/src/endivestream/process/planner_lease_manager.py
+++ b/packages/endivestream/src/endivestream/process/planner_lease_manager.py
@@ -306,7 +306,8 @@
             # In a log of an earlier version, leaders have sent orders without a
             # planner lease.
             is_first = (
-                not record.holder and self._replicator.replica.first_own < 2
+                not record.holder
+                and self._replicator.replica.first_index_of_term < 2
             )
             orders_from = (
                 now if is_first else self._earliest_order_time(record, now)
--- a/packages/endivestream/src/endivestream/process/site_control.py
+++ b/packages/endivestream/src/endivestream/process/site_control.py
@@ -73,7 +73,7 @@
             meter=self._meter,
         )
         self._metrics = site_metrics.ControlMetrics(
-            leads=lambda: self._control.replicator.leads,
+            leads=lambda: self._control.replicator.is_leader,
             term=lambda: self._control.replicator.term,
             index=lambda: self._control.replicator.index,
             version=lambda: self._control.replicator.state.document.version,
--- a/packages/endivestream/src/endivestream/process/site_leader.py
+++ b/packages/endivestream/src/endivestream/process/site_leader.py
@@ -253,7 +253,7 @@
     def _grant_retry(
         self, service: str
     ) -> site_messages.GiveRepeat | messages.NotLeader:
-        if not self._replicator.leads:
+        if not self._replicator.is_leader:
             # Another leader may already grant retries from the same allowance.
             return messages.NotLeader(address="")
         budget = self._retry_budgets.get(service)
@@ -272,7 +272,7 @@
     def _grant_send(
         self, message: site_messages.AskSend
     ) -> site_messages.GiveSend | messages.NotLeader:
-        if not self._replicator.leads:
+        if not self._replicator.is_leader:
             # Another leader may already grant sends to the same target.
             return messages.NotLeader(address="")
         now = clock.now()
@@ -518,7 +518,7 @@
         *,
         had_session: bool,
     ) -> site_messages.Renewed | messages.NotLeader:
-        if not self._replicator.leads:
+        if not self._replicator.is_leader:
             # Another leader may have committed a newer configuration.
             return messages.NotLeader(address="")
         document = self._document
--- a/packages/endivestream/src/endivestream/process/views.py
+++ b/packages/endivestream/src/endivestream/process/views.py
@@ -120,12 +120,16 @@
                 "synced": (
                     replica.commit
                     if is_leader
-                    else replica.matched(member.identity)
+                    else replica.match_index(member.identity)
                 ),
                 "behind": 0
                 if is_leader
-                else max(0, replica.commit - replica.matched(member.identity)),
-                "silent_s": round(replica.silent_for(member.identity), 2),
+                else max(
+                    0, replica.commit - replica.match_index(member.identity)
+                ),
+                "silent_s": round(
+                    replica.seconds_since_reply(member.identity), 2
+                ),
             }
         )
     return rows
--- a/packages/endivestream/src/endivestream/version/consensus.py
+++ b/packages/endivestream/src/endivestream/version/consensus.py
@@ -34,7 +34,7 @@
 
     def __init__(self, *, next_index: int, now: float) -> None:
         self.next_index = next_index
-        self.matched = 0
+        self.match_index = 0
         # When the newest message that the follower acknowledged was sent.
         self.acked_sent_at = float("-inf")
         self.last_reply_at = now
@@ -118,7 +118,7 @@
         return self._log.last_index
 
     @property
-    def first_own(self) -> int:
+    def first_index_of_term(self) -> int:
         """Index of a leader's first entry; 1 if it is the first leader ever.
 
         A new leader immediately appends an entry of its own term, and its
@@ -147,17 +147,19 @@
             return float("-inf")
         sent_times = sorted(map(self._acked_sent_at, self.members.voters))
         sent_times.reverse()
-        return sent_times[self.members.majority - 1] + self._timing.lease
+        return (
+            sent_times[self.members.majority - 1] + self._timing.lease_seconds
+        )
 
-    def matched(self, identity: str) -> int:
+    def match_index(self, identity: str) -> int:
         """Returns the index of the last entry that a follower has synced.
 
         Valid on the leader only; 0 if the follower is unknown.
         """
         peer = self._peers.get(identity)
-        return peer.matched if peer else 0
+        return peer.match_index if peer else 0
 
-    def silent_for(self, identity: str) -> float:
+    def seconds_since_reply(self, identity: str) -> float:
         """Returns the seconds since the last reply of a follower.
 
         Valid on the leader only; 0 if the follower is unknown.
@@ -224,7 +226,7 @@
     # Timers.
 
     def _reset_election_deadline(self) -> None:
-        self._election_deadline = self._now + self._timing.election * (
+        self._election_deadline = self._now + self._timing.election_seconds * (
             1 + self._jitter
         )
 
@@ -258,7 +260,7 @@
         reachable = sum(
             m.identity == self.identity
             or self._now - self._peer(m.identity).last_reply_at
-            <= self._timing.election
+            <= self._timing.election_seconds
             for m in self.members.voters
         )
         return reachable >= self.members.majority
@@ -344,7 +346,7 @@
         """Returns whether a leader's lease may rely on this replica."""
         if self.role == Role.LEADER:
             return True
-        return self._now - self._leader_seen_at < self._timing.election
+        return self._now - self._leader_seen_at < self._timing.election_seconds
 
     # Messages.
 
@@ -581,7 +583,7 @@
         return peer
 
     def _broadcast(self) -> None:
-        self._next_heartbeat_at = self._now + self._timing.heartbeat
+        self._next_heartbeat_at = self._now + self._timing.heartbeat_seconds
         for member in self.members.all:
             if member.identity != self.identity:
                 self._send_entries(member.identity)
@@ -591,7 +593,10 @@
         prev = peer.next_index - 1
         if prev < self._log.snapshot_index:
             # Not resent with every heartbeat: delivery takes longer than that.
-            if self._now - peer.snapshot_sent_at >= 2 * self._timing.election:
+            if (
+                self._now - peer.snapshot_sent_at
+                >= 2 * self._timing.election_seconds
+            ):
                 peer.snapshot_sent_at = self._now
                 self._effects.append(
                     protocol.SendSnapshot(to, self.term, self._now)
@@ -625,12 +630,12 @@
         peer.last_reply_at = self._now
         peer.acked_sent_at = max(peer.acked_sent_at, message.sent)
         if message.rejected:
-            # A delayed rejection must not move back before `matched`.
-            peer.next_index = max(peer.matched, message.matched) + 1
+            # A delayed rejection must not move back before `match_index`.
+            peer.next_index = max(peer.match_index, message.matched) + 1
             self._send_entries(sender)
             return
-        peer.matched = max(peer.matched, message.matched)
-        peer.next_index = max(peer.next_index, peer.matched + 1)
+        peer.match_index = max(peer.match_index, message.matched)
+        peer.next_index = max(peer.next_index, peer.match_index + 1)
         self._commit_by_majority()
         if peer.next_index <= self._log.last_index:
             self._send_entries(sender)
@@ -640,7 +645,7 @@
             (
                 self._durable_index
                 if m.identity == self.identity
-                else self._peer(m.identity).matched
+                else self._peer(m.identity).match_index
                 for m in self.members.voters
             ),
             reverse=True,
@@ -697,7 +702,7 @@
     def _transfer(self) -> None:
         if self.role != Role.LEADER or self._transferring:
             return
-        others = [(self._peer(o).matched, o) for o in self._other_voters()]
+        others = [(self._peer(o).match_index, o) for o in self._other_voters()]
         if not others:
             return
         matched, successor = max(others)
@@ -706,5 +711,5 @@
             return  # The caller repeats the `Transfer` event until it is done.
         # The lease is given up here, before the successor can be elected.
         self._transferring = True
-        self._transfer_deadline = self._now + self._timing.election
+        self._transfer_deadline = self._now + self._timing.election_seconds
         self._send(successor, protocol.TimeoutNow(term=self.term))
--- a/packages/endivestream/src/endivestream/version/members.py
+++ b/packages/endivestream/src/endivestream/version/members.py
@@ -62,7 +62,7 @@
         """Returns the members with `member` added as a learner."""
         return Members(self.voters, (*self.learners, member))
 
-    def promoted(self, identity: str) -> Members:
+    def with_promoted(self, identity: str) -> Members:
         """Returns the members with a learner promoted to voter."""
         promoted_learners = tuple(
             m for m in self.learners if m.identity == identity
--- a/packages/endivestream/src/endivestream/version/protocol.py
+++ b/packages/endivestream/src/endivestream/version/protocol.py
@@ -18,16 +18,17 @@
     """Consensus timing parameters, in seconds.
 
     Attributes:
-        heartbeat: Interval of the leader's heartbeats to each follower.
-        election: Minimum election timeout; the maximum is twice that.
-        lease: Duration of the leader lease, counted from the sending of a
-            message that a majority acknowledged. Shorter than `election` by
-            more than the clocks can drift apart in that time.
+        heartbeat_seconds: Interval of the leader's heartbeats to each follower.
+        election_seconds: Minimum election timeout; the maximum is twice that.
+        lease_seconds: Duration of the leader lease, counted from the sending of
+            a message that a majority acknowledged. Shorter than
+            `election_seconds` by more than the clocks can drift apart in that
+            time.
     """
 
-    heartbeat: float
-    election: float
-    lease: float
+    heartbeat_seconds: float
+    election_seconds: float
+    lease_seconds: float
 
 
 # Messages between replicas. `sent` is the leader's clock at sending time; the
--- a/packages/endivestream/src/endivestream/version/replicate.py
+++ b/packages/endivestream/src/endivestream/version/replicate.py
@@ -43,7 +43,7 @@
         self.address = address
 
 
-class LostError(Exception):
+class LeadershipLostError(Exception):
     """The outcome of a proposal is unknown: it may or may not be committed."""
 
 
@@ -69,7 +69,7 @@
         send: Callable[[str, str, protocol.Message], Awaitable[None]],
         on_applied: Callable[[state_lib.Command, state_lib.Result], None],
         on_restored: Callable[[], None],
-        on_role: Callable[[bool], None],
+        on_leadership_changed: Callable[[bool], None],
         on_failed: Callable[[OSError], None],
     ) -> None:
         self.state = state_lib.State()
@@ -80,7 +80,7 @@
         self._send = send
         self._on_applied = on_applied
         self._on_restored = on_restored
-        self._on_role = on_role
+        self._on_leadership_changed = on_leadership_changed
         self._on_failed = on_failed
         self._random = random.Random()
         self._replica: consensus.Replica | None = None
@@ -104,7 +104,7 @@
         return self._storage.identity
 
     @property
-    def me(self) -> members_lib.Member:
+    def own_member(self) -> members_lib.Member:
         """This replica as a member."""
         return members_lib.Member(self.identity, self._name, self._address)
 
@@ -125,7 +125,7 @@
         return self.replica.term
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether this replica is the leader and holds a valid lease."""
         return not self._closed and (self.replica.lease_until > clock.now())
 
@@ -148,18 +148,19 @@
     def start(
         self,
         *,
-        form: bool,
-        alone: bool = False,
+        bootstrap: bool,
+        sole_voter: bool = False,
         founders: Sequence[members_lib.Member] = (),
     ) -> None:
         """Loads the stored state and joins the consensus group.
 
         Args:
-            form: Whether to bootstrap a new system if the folder holds none.
-            founders: With `form`: the initial voters, identical on all of
+            bootstrap: Whether to bootstrap a new system if the folder holds
+                none.
+            founders: With `bootstrap`: the initial voters, identical on all of
                 them; only this replica if empty.
-            alone: Whether to continue as the only voter, after the disks of
-                a majority were lost permanently.
+            sole_voter: Whether to continue as the only voter, after the disks
+                of a majority were lost permanently.
 
         Raises:
             storage_lib.CorruptError: The stored data is damaged.
@@ -170,9 +171,9 @@
         has_stored_state = (
             self._storage.snapshot.members.voters or self._storage.entries
         )
-        if form and not has_stored_state:
+        if bootstrap and not has_stored_state:
             self._form_system(founders)
-        if alone:
+        if sole_voter:
             self._stand_alone()
         snapshot = self._storage.snapshot
         if snapshot.data:
@@ -207,7 +208,7 @@
         All founders store the same initial members, so a majority of the
         founders is required from the first commit on.
         """
-        members = members_lib.Members(tuple(founders) or (self.me,))
+        members = members_lib.Members(tuple(founders) or (self.own_member,))
         self._storage.save_snapshot(
             storage_lib.SnapshotFile(0, 0, b"", members)
         )
@@ -231,7 +232,10 @@
             index, term = entry.index, entry.term
         self._storage.save_snapshot(
             storage_lib.SnapshotFile(
-                index, term, state.snapshot(), members_lib.Members((self.me,))
+                index,
+                term,
+                state.snapshot(),
+                members_lib.Members((self.own_member,)),
             )
         )
         logs.warn("standing_alone", identity=self.identity[:8], index=index)
@@ -242,26 +246,27 @@
             await self._transfer_leadership()
         self._closed = True
         await tasks.cancel((*self._tasks, *self._send_tasks))
-        self._fail_pending(LostError("the host is stopping"))
+        self._fail_pending(LeadershipLostError("the host is stopping"))
         self._storage.close()
 
     async def _transfer_leadership(self) -> None:
         """Transfers leadership, to avoid an election timeout on shutdown."""
-        deadline = clock.now() + self._timing.election
+        deadline = clock.now() + self._timing.election_seconds
         while (
             self.replica.role == consensus.Role.LEADER
             and len(self.replica.members.voters) > 1
             and clock.now() < deadline
         ):
             self._step(protocol.Transfer())
-            await asyncio.sleep(self._timing.heartbeat / 2)
+            await asyncio.sleep(self._timing.heartbeat_seconds / 2)
 
     async def propose(self, command: state_lib.Command) -> state_lib.Result:
         """Commits a command and returns the result of applying it.
 
         Raises:
             NotLeaderError: The command was not appended.
-            LostError: Leadership was lost; the command may be committed.
+            LeadershipLostError: Leadership was lost; the command may be
+                committed.
             OSError: The disk failed; the command may be committed.
         """
         if self._closed:
@@ -301,7 +306,7 @@
 
     async def _tick(self) -> None:
         while True:
-            await asyncio.sleep(self._timing.heartbeat / 2)
+            await asyncio.sleep(self._timing.heartbeat_seconds / 2)
             self._step(protocol.Tick(self._random.random()))
 
     async def _sync(self) -> None:
@@ -383,7 +388,9 @@
                 pending.future.set_result(result)
             else:
                 pending.future.set_exception(
-                    LostError("the entry was replaced by one of another leader")
+                    LeadershipLostError(
+                        "the entry was replaced by one of another leader"
+                    )
                 )
 
     def _compact(self) -> None:
@@ -411,10 +418,12 @@
                 leader=replica.leader[:8],
             )
         if replica.role != consensus.Role.LEADER and self._pending:
-            self._fail_pending(LostError("this host is no longer the leader"))
+            self._fail_pending(
+                LeadershipLostError("this host is no longer the leader")
+            )
         if replica.ready != self._reported_ready:
             self._reported_ready = replica.ready
-            self._on_role(self._reported_ready)
+            self._on_leadership_changed(self._reported_ready)
 
     def _fail_pending(self, error: Exception) -> None:
         pending, self._pending = self._pending, {}
--- a/tests/leader_site.py
+++ b/tests/leader_site.py
@@ -60,7 +60,7 @@
 class Log:
     """Replicated log with a single replica."""
 
-    leads = True
+    is_leader = True
     term = 1
     identity = "c0"
 
@@ -69,10 +69,10 @@
         member = members_lib.Member("c0", "c0", "tcp://c0")
         self.replica = types.SimpleNamespace(
             members=members_lib.Members(voters=(member,)),
-            first_own=1,
+            first_index_of_term=1,
             commit=1,
-            silent_for=lambda identity: 0.0,
-            matched=lambda identity: 1,
+            seconds_since_reply=lambda identity: 0.0,
+            match_index=lambda identity: 1,
         )
         self.on_applied = lambda command, result: None
 
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -16,7 +16,9 @@
 import hypothesis
 from hypothesis import strategies as st
 
-TIMING = protocol.Timing(heartbeat=0.1, election=0.5, lease=0.42)
+TIMING = protocol.Timing(
+    heartbeat_seconds=0.1, election_seconds=0.5, lease_seconds=0.42
+)
 # Maximum relative rate error of a replica's clock.
 MAX_CLOCK_DRIFT = 0.05
 
@@ -320,7 +322,7 @@
         if members.is_voter(name):
             changed = members.without(name)
         elif members.find(name):
-            changed = members.promoted(name)
+            changed = members.with_promoted(name)
         else:
             changed = members.with_learner(_member(name))
         if len(changed.voters) >= 2:
@@ -418,7 +420,7 @@
         replica = cluster.replicas[leader]
         for change in (
             lambda m: m.with_learner(_member("r3")),
-            lambda m: m.promoted("r3"),
+            lambda m: m.with_promoted("r3"),
             lambda m: m.without(first_failed),
         ):
             before = replica.members
@@ -657,7 +659,9 @@
         replica.step(protocol.Synced(1), 101.0)
         reply = _append_reply(replica, 1, sent=101.0)
         replica.step(protocol.Received("b", reply), 101.3)
-        self.assertAlmostEqual(replica.lease_until, 101.0 + TIMING.lease)
+        self.assertAlmostEqual(
+            replica.lease_until, 101.0 + TIMING.lease_seconds
+        )
 
     def test_leadership_transfer_ends_the_lease_permanently(self):
         """The old leader would hold a lease while its successor leads.
--- a/tests/test_entry_site.py
+++ b/tests/test_entry_site.py
@@ -301,7 +301,7 @@
         leader = next(
             peer
             for peer, control in self.controls.items()
-            if control._control.replicator.leads
+            if control._control.replicator.is_leader
         )
         await self.controls.pop(leader).close()
         for entry in self.entries:
@@ -327,7 +327,9 @@
         for peer in self.peers[:2]:
             await self.controls.pop(peer).close()
         remaining = self.controls[self.peers[2]]
-        await self._wait_until(lambda: not remaining._control.replicator.leads)
+        await self._wait_until(
+            lambda: not remaining._control.replicator.is_leader
+        )
         self.assertFalse(await remaining.apply(test_document.document(2)))
         self.assertIsNone(await remaining.read())
 
@@ -342,7 +344,7 @@
         peer = next(
             p
             for p, control in self.controls.items()
-            if not control._control.replicator.leads
+            if not control._control.replicator.is_leader
         )
         await self.controls.pop(peer).close()
         number = self.peers.index(peer)
@@ -425,7 +427,7 @@
         peer = next(
             peer
             for peer, control in self.controls.items()
-            if control._control.replicator.leads
+            if control._control.replicator.is_leader
         )
         await self.controls.pop(peer).close()
         await self._wait_until(
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -380,7 +380,7 @@
         with (
             unittest.mock.patch.object(
                 type(control.replicator),
-                "leads",
+                "is_leader",
                 unittest.mock.PropertyMock(side_effect=lambda: leads[0]),
             ),
             unittest.mock.patch.object(
--- a/tests/test_membership_manager.py
+++ b/tests/test_membership_manager.py
@@ -17,10 +17,10 @@
         self.behind = {}
         self.silent = {}
 
-    def matched(self, identity):
+    def match_index(self, identity):
         return self.commit - self.behind.get(identity, 0)
 
-    def silent_for(self, identity):
+    def seconds_since_reply(self, identity):
         return self.silent.get(identity, 0.0)
 
 
--- a/tests/test_planner_lease.py
+++ b/tests/test_planner_lease.py
@@ -34,7 +34,9 @@
     def __init__(self):
         self.state = state_lib.State()
         self.term = 1
-        self.replica = types.SimpleNamespace(members=MEMBERS, first_own=1)
+        self.replica = types.SimpleNamespace(
+            members=MEMBERS, first_index_of_term=1
+        )
 
     async def propose(self, command):
         return self.state.apply(1, command)
@@ -146,7 +148,7 @@
         Hosts are restarted with a new version one by one. The previous leader
         has sent orders itself until now, and the log contains no holder yet.
         """
-        self.log.replica.first_own = 700
+        self.log.replica.first_index_of_term = 700
         answer = await self._request_lease("m2")
         self.assertEqual("m2", answer.holder)
         self.assertGreaterEqual(answer.wait, PAUSE_SECONDS)
--- a/tests/test_replicate.py
+++ b/tests/test_replicate.py
@@ -9,7 +9,9 @@
 from endivestream.version import replicate
 from endivestream.version import storage as storage_lib
 
-TIMING = protocol.Timing(heartbeat=0.01, election=0.05, lease=0.04)
+TIMING = protocol.Timing(
+    heartbeat_seconds=0.01, election_seconds=0.05, lease_seconds=0.04
+)
 
 
 def _begin(number):
@@ -43,13 +45,13 @@
             send=send,
             on_applied=lambda command, result: None,
             on_restored=lambda: None,
-            on_role=self.roles.put_nowait,
+            on_leadership_changed=self.roles.put_nowait,
             on_failed=self.failed.append,
         )
 
     async def _started(self, storage=None, **arguments):
         replicator = self._replicator(storage)
-        replicator.start(form=True, **arguments)
+        replicator.start(bootstrap=True, **arguments)
         self.addAsyncCleanup(replicator.close)
         self.assertTrue(await self.roles.get())
         return replicator
@@ -84,7 +86,7 @@
         with self.assertRaises(replicate.NotLeaderError):
             await replicator.propose(_begin(3))
         self.assertEqual(len(self.failed), 1)
-        self.assertFalse(replicator.leads)
+        self.assertFalse(replicator.is_leader)
 
     async def test_full_disk_stops_the_replicator(self):
         """A replicator would keep running after a write to the log failed."""
@@ -118,14 +120,14 @@
         """The last surviving voter could not be brought back into service.
 
         The disks of two of three voters are lost. The remaining replica
-        leads only if it is started with `alone`.
+        leads only if it is started with `sole_voter`.
         """
         first = await self._started()
         await first.propose(_begin(1))
         others = tuple(
             members_lib.Member(name, name, "tcp://y") for name in "bc"
         )
-        members = members_lib.Members((first.me, *others))
+        members = members_lib.Members((first.own_member, *others))
         await first.close()
         storage = storage_lib.Storage(folder=self.folder)
         storage.start()
@@ -136,9 +138,9 @@
         storage.close()
         self.roles = asyncio.Queue()
         without_quorum = self._replicator()
-        without_quorum.start(form=True)
+        without_quorum.start(bootstrap=True)
         self.assertEqual(len(without_quorum.replica.members.voters), 3)
         await without_quorum.close()
-        alone = await self._started(alone=True)
+        alone = await self._started(sole_voter=True)
         self.assertEqual(len(alone.state.calls), 1)
         await alone.propose(_begin(2))
