--- a/benchmarks/capacity/agreement.py
+++ b/benchmarks/capacity/agreement.py
@@ -23,7 +23,7 @@
 
 
 def _begin_call_proposal(number: int) -> messages.Propose:
-    command = calls.BeginCall(
+    command = calls.ClaimCall(
         team="team1",
         service="desk",
         key=f"{int(time.time())}-{number}-{time.monotonic_ns()}",
--- a/benchmarks/capacity/control.py
+++ b/benchmarks/capacity/control.py
@@ -282,7 +282,7 @@
             while time.monotonic() < deadline:
                 number += 1
                 name = f"{int(time.time())}-{number}"
-                command = calls.BeginCall(
+                command = calls.ClaimCall(
                     team="team1",
                     service="desk",
                     key=name,
@@ -402,7 +402,7 @@
 async def _propose_records(driver: Driver, records: int) -> None:
     async def propose_share(index: int) -> None:
         for n in range(index, records, 64):
-            command = calls.BeginCall(
+            command = calls.ClaimCall(
                 team="team1",
                 service="desk",
                 key=f"{int(time.time())}-{n:032x}",
--- a/benchmarks/capacity/pure.py
+++ b/benchmarks/capacity/pure.py
@@ -117,7 +117,7 @@
                 name = f"1790000000-{n:032x}"
                 holder = f"host-17/1790000000000/{n:x}"
                 state.apply(
-                    calls.BeginCall(
+                    calls.ClaimCall(
                         team="team1",
                         service="desk",
                         key=name,
@@ -127,7 +127,7 @@
                     )
                 )
                 state.apply(
-                    calls.EndCall(
+                    calls.CompleteCall(
                         team="team1",
                         service="desk",
                         key=name,
@@ -183,7 +183,7 @@
             f"m{n}": rules_lib.Model(f"m{n}", rng.randint(20, 60), 3, 512)
             for n in range(models)
         }
-        ledger = ledger_lib.Ledger()
+        ledger = ledger_lib.MemoryLedger()
         for n in range(targets):
             ledger.apply(
                 n + 1,
@@ -213,7 +213,7 @@
         for index, load in enumerate(plan().loads, start=10_000):
             ledger.apply(
                 index,
-                ledger_lib.IntendLoad(
+                ledger_lib.ReserveLoad(
                     target=load.target,
                     incarnation=1,
                     model=load.model,
--- a/packages/endivestream/src/endivestream/process/control.py
+++ b/packages/endivestream/src/endivestream/process/control.py
@@ -297,7 +297,7 @@
     def _on_applied(
         self, command: state_lib.Command, result: state_lib.Result
     ) -> None:
-        if isinstance(command, credit_lib.SetAside):
+        if isinstance(command, credit_lib.ReserveCredit):
             now = time.monotonic()
             self._credit_received_at.update(dict.fromkeys(command.levels, now))
         if self._leader_role is not None:
--- a/packages/endivestream/src/endivestream/process/leader.py
+++ b/packages/endivestream/src/endivestream/process/leader.py
@@ -119,18 +119,20 @@
             committed.keys() & teams.keys() & self._credit_received_at.keys()
         ):
             seconds = now - self._credit_received_at[name]
-            refilled = committed[name].rest + int(
+            refilled = committed[name].level_without_reserve + int(
                 teams[name].rate * seconds * 1e6
             )
-            levels[name] = min(refilled, committed[name].most)
+            levels[name] = min(refilled, committed[name].max_level)
         return levels
 
     async def _reserve_credit(
-        self, levels: dict[str, credit_lib.Level]
+        self, levels: dict[str, credit_lib.CreditLevel]
     ) -> bool:
         try:
             result = await self._replicator.propose(
-                credit_lib.SetAside(term=self._replicator.term, levels=levels)
+                credit_lib.ReserveCredit(
+                    term=self._replicator.term, levels=levels
+                )
             )
         except (
             replicate.NotLeaderError,
@@ -138,7 +140,7 @@
             OSError,
         ):
             return False
-        return isinstance(result, credit_lib.DoneSettingAside) and (
+        return isinstance(result, credit_lib.CreditReserved) and (
             result.accepted
         )
 
@@ -171,12 +173,14 @@
         The host may only be unreachable and its call may still run: "unknown"
         is correct in both cases, and a later answer still replaces it.
         """
-        running = list(self._replicator.state.calls.running_hosts)
+        running = list(self._replicator.state.calls.running_processes)
         for name, incarnation in running:
             if self.host_leases.is_expired(name, now):
                 logs.warn("calls_abandoned", peer=name)
                 await self._replicator.propose(
-                    calls_lib.AbandonCalls(host=name, before=incarnation + 1)
+                    calls_lib.AbandonCalls(
+                        host=name, first_live_incarnation=incarnation + 1
+                    )
                 )
 
     def applied(
@@ -304,9 +308,13 @@
     async def _abandon_older_calls(self, host: messages.HostInfo) -> None:
         has_older_calls = any(
             name == host.name and incarnation < host.incarnation
-            for name, incarnation in self._replicator.state.calls.running_hosts
+            for name, incarnation in (
+                self._replicator.state.calls.running_processes
+            )
         )
         if has_older_calls:
             await self._replicator.propose(
-                calls_lib.AbandonCalls(host=host.name, before=host.incarnation)
+                calls_lib.AbandonCalls(
+                    host=host.name, first_live_incarnation=host.incarnation
+                )
             )
--- a/packages/endivestream/src/endivestream/process/limiter.py
+++ b/packages/endivestream/src/endivestream/process/limiter.py
@@ -33,7 +33,7 @@
         self,
         *,
         reserve_credit: Callable[
-            [dict[str, credit_lib.Level]], Awaitable[bool]
+            [dict[str, credit_lib.CreditLevel]], Awaitable[bool]
         ],
     ) -> None:
         self._reserve_credit = reserve_credit
@@ -214,7 +214,7 @@
                 continue
             accepted = await self._reserve_credit(
                 {
-                    name: credit_lib.Level(
+                    name: credit_lib.CreditLevel(
                         reserved.level_without_reserve, reserved.max_level
                     )
                     for name, reserved in proposed.items()
--- a/packages/endivestream/src/endivestream/process/placer.py
+++ b/packages/endivestream/src/endivestream/process/placer.py
@@ -118,7 +118,7 @@
         )
         key = (info.name, info.incarnation)
         if (
-            isinstance(result, ledger_lib.Refused)
+            isinstance(result, ledger_lib.LedgerRejected)
             and key not in self._refused_targets
         ):
             self._refused_targets.add(key)
@@ -142,7 +142,7 @@
 
     async def _commit_intent(self, load: placement.Load) -> None:
         result = await self._replicator.propose(
-            ledger_lib.IntendLoad(
+            ledger_lib.ReserveLoad(
                 target=load.target,
                 incarnation=load.incarnation,
                 model=load.model,
@@ -150,7 +150,7 @@
             )
         )
         match result:
-            case ledger_lib.Reserved(fence=fence):
+            case ledger_lib.MemoryReserved(fencing_token=fence):
                 logs.event(
                     "place",
                     order="load",
@@ -160,7 +160,7 @@
                     fence=fence,
                     reason=load.reason,
                 )
-            case ledger_lib.Refused(reason=reason):
+            case ledger_lib.LedgerRejected(reason=reason):
                 logs.warn(
                     "place_refused",
                     model=load.model,
@@ -200,7 +200,7 @@
                     "incarnation": info.incarnation,
                     "model": model,
                     "memory": entry.memory,
-                    "fence": [self._replicator.term, entry.fence],
+                    "fence": [self._replicator.term, entry.fencing_token],
                 }
                 task = asyncio.create_task(self._send_order(info.url, order))
                 self._send_tasks.add(task)
--- a/packages/endivestream/src/endivestream/process/views.py
+++ b/packages/endivestream/src/endivestream/process/views.py
@@ -153,7 +153,7 @@
                 "live": name in live,
                 "draining": session.draining or name in targets.held_back,
                 "silent_s": round(now - session.received_at, 2),
-                "held_mib": entry.held if entry else 0,
+                "held_mib": entry.reserved_mib if entry else 0,
                 "memory_mib": session.info.memory,
                 "loaded": sorted(session.loaded),
             }
--- a/packages/endivestream/src/endivestream/request/service_calls.py
+++ b/packages/endivestream/src/endivestream/request/service_calls.py
@@ -120,7 +120,7 @@
     async def _run_once(self) -> Answer | findings.Failure:
         try:
             begin_result = await self._gateway.propose(
-                calls_lib.BeginCall(
+                calls_lib.ClaimCall(
                     team=self._team,
                     service=self._service.name,
                     key=self._call.key,
@@ -140,11 +140,11 @@
                 "control_unreachable", str(error), status=503, retry_after=1.0
             )
         match begin_result:
-            case calls_lib.Known(record=record, same=same):
+            case calls_lib.CallExists(record=record, same=same):
                 return _answer_from_record(record, same)
-            case calls_lib.Forgotten(reason=reason):
+            case calls_lib.KeyRejected(reason=reason):
                 return _forgotten_key_failure(reason)
-            case calls_lib.Begun():
+            case calls_lib.CallStarted():
                 return await self._send_and_commit()
             case _:
                 raise AssertionError(f"unexpected result {begin_result!r}")
@@ -183,9 +183,9 @@
 
     def _end_command(
         self, outcome: str, answer: Answer | None = None
-    ) -> calls_lib.EndCall:
+    ) -> calls_lib.CompleteCall:
         answer = answer or Answer(0, "", b"")
-        return calls_lib.EndCall(
+        return calls_lib.CompleteCall(
             team=self._team,
             service=self._service.name,
             key=self._call.key,
@@ -193,7 +193,7 @@
             outcome=outcome,
             status=answer.status,
             content_type=answer.content_type,
-            body=answer.body[: calls_lib.BODY_KEPT_BYTES],
+            body=answer.body[: calls_lib.MAX_STORED_BODY_BYTES],
         )
 
     async def _send(self, *, repeatable: bool) -> Answer | findings.Failure:
@@ -296,7 +296,7 @@
             record.content_type,
             record.body,
             replayed=True,
-            truncated=len(record.body) >= calls_lib.BODY_KEPT_BYTES,
+            truncated=len(record.body) >= calls_lib.MAX_STORED_BODY_BYTES,
         )
     if record.state == "running":
         return findings.Failure(
--- a/packages/endivestream/src/endivestream/version/calls.py
+++ b/packages/endivestream/src/endivestream/version/calls.py
@@ -25,12 +25,12 @@
 MAX_OPAQUE_KEYS = 100_000
 # Bounds the size of the replicated state. The body of a longer response is
 # truncated, and the replayed response is marked as truncated.
-BODY_KEPT_BYTES = 16 * 1024
+MAX_STORED_BODY_BYTES = 16 * 1024
 
 _UNIX_TIME_PREFIX = re.compile(r"(\d{10})[-.:]")
 
 
-class BeginCall(msgspec.Struct, frozen=True, kw_only=True, tag=True):
+class ClaimCall(msgspec.Struct, frozen=True, kw_only=True, tag="BeginCall"):
     """Claims the right to send a call once.
 
     Attributes:
@@ -50,19 +50,19 @@
     at: float
 
 
-class EndCall(msgspec.Struct, frozen=True, kw_only=True, tag=True):
+class CompleteCall(msgspec.Struct, frozen=True, kw_only=True, tag="EndCall"):
     """Stores the outcome of a call.
 
     Attributes:
-        team: As in `BeginCall`.
-        service: As in `BeginCall`.
-        key: As in `BeginCall`.
+        team: As in `ClaimCall`.
+        service: As in `ClaimCall`.
+        key: As in `ClaimCall`.
         holder: Attempt that holds the claim.
         outcome: `done`, `unknown`, or `not_run` if it is certain that nothing
             was sent; `not_run` releases the key.
         status: HTTP status of the response.
         content_type: Content type of the body.
-        body: Body of the response, at most `BODY_KEPT_BYTES`.
+        body: Body of the response, at most `MAX_STORED_BODY_BYTES`.
     """
 
     team: str
@@ -80,11 +80,12 @@
 
     Attributes:
         host: Name of the host.
-        before: Calls of incarnations lower than this one are abandoned.
+        first_live_incarnation: Calls of incarnations lower than this one are
+            abandoned.
     """
 
     host: str
-    before: int
+    first_live_incarnation: int = msgspec.field(name="before")
 
 
 class ExpireCalls(msgspec.Struct, frozen=True, kw_only=True, tag=True):
@@ -97,7 +98,7 @@
     now: float
 
 
-Command = BeginCall | EndCall | AbandonCalls | ExpireCalls
+Command = ClaimCall | CompleteCall | AbandonCalls | ExpireCalls
 
 
 class Record(NamedTuple):
@@ -107,7 +108,7 @@
         fingerprint: Digest of method, path and body.
         holder: Attempt that may send the call.
         state: `running`, `done` or `unknown`.
-        begun: Unix time of the claim, in seconds.
+        started_at: Unix time of the claim, in seconds.
         status: HTTP status of the stored response.
         content_type: Content type of the stored response.
         body: Body of the stored response.
@@ -116,17 +117,17 @@
     fingerprint: str
     holder: str
     state: str
-    begun: float
+    started_at: float
     status: int = 0
     content_type: str = ""
     body: bytes = b""
 
 
-class Begun(msgspec.Struct, frozen=True, kw_only=True, tag=True):
+class CallStarted(msgspec.Struct, frozen=True, kw_only=True, tag="Begun"):
     """The claim was granted: the holder may send the call once."""
 
 
-class Known(msgspec.Struct, frozen=True, kw_only=True, tag=True):
+class CallExists(msgspec.Struct, frozen=True, kw_only=True, tag="Known"):
     """The call already has a record.
 
     Attributes:
@@ -138,7 +139,7 @@
     same: bool
 
 
-class Forgotten(msgspec.Struct, frozen=True, kw_only=True, tag=True):
+class KeyRejected(msgspec.Struct, frozen=True, kw_only=True, tag="Forgotten"):
     """The call must not run: its record expired or could not be kept.
 
     Attributes:
@@ -148,11 +149,11 @@
     reason: str
 
 
-class Ended(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Result of every command except `BeginCall`."""
+class CommandApplied(msgspec.Struct, frozen=True, kw_only=True, tag="Ended"):
+    """Result of every command except `ClaimCall`."""
 
 
-Result = Begun | Known | Forgotten | Ended
+Result = CallStarted | CallExists | KeyRejected | CommandApplied
 
 
 class Snapshot(msgspec.Struct, frozen=True, kw_only=True):
@@ -225,7 +226,7 @@
         return f"<Calls: {len(self._records)} kept, {running} running>"
 
     @property
-    def running_hosts(self) -> Collection[tuple[str, int]]:
+    def running_processes(self) -> Collection[tuple[str, int]]:
         """Host names and incarnations that hold running calls."""
         return self._running.keys()
 
@@ -246,35 +247,35 @@
     def apply(self, command: Command) -> Result:
         """Applies one command in log order, deterministically."""
         match command:
-            case BeginCall():
+            case ClaimCall():
                 return self._begin(command)
-            case EndCall():
+            case CompleteCall():
                 self._end(command)
-            case AbandonCalls(host=host, before=before):
+            case AbandonCalls(host=host, first_live_incarnation=before):
                 self._abandon(host, before)
             case ExpireCalls(now=now):
                 self._expire(now)
-        return Ended()
+        return CommandApplied()
 
-    def _begin(self, command: BeginCall) -> Result:
+    def _begin(self, command: ClaimCall) -> Result:
         name = _record_key(command.team, command.service, command.key)
         record = self._records.get(name)
         if record is not None:
             # The holder repeats its claim: the reply to the first one may
             # have been lost before the call was sent.
             if record.holder == command.holder and record.state == "running":
-                return Begun()
+                return CallStarted()
             same = record.fingerprint == command.fingerprint
-            return Known(record=record, same=same)
+            return CallExists(record=record, same=same)
         # Checked for every key: a key whose time was in the future at its
         # first use is kept as an opaque key, but a day later it looks like a
         # key that carries a valid time.
         if _opaque_digest(name) in self._opaque_digests:
-            return Forgotten(reason="expired")
+            return KeyRejected(reason="expired")
         created_at = _trusted_key_time(command.key, command.at)
         if created_at is None:
             if len(self._opaque_digests) >= MAX_OPAQUE_KEYS:
-                return Forgotten(reason="too_many_opaque_keys")
+                return KeyRejected(reason="too_many_opaque_keys")
         elif (
             created_at
             < command.at - RECORD_LIFETIME_SECONDS + MAX_CLOCK_SKEW_SECONDS
@@ -282,14 +283,14 @@
             # A record is kept for RECORD_LIFETIME_SECONDS, and a key is
             # accepted only while it is younger than that minus the clock
             # skew. When a record is removed, its key is already too old.
-            return Forgotten(reason="expired")
+            return KeyRejected(reason="expired")
         self._set_record(
             name,
             Record(command.fingerprint, command.holder, "running", command.at),
         )
-        return Begun()
+        return CallStarted()
 
-    def _end(self, command: EndCall) -> None:
+    def _end(self, command: CompleteCall) -> None:
         name = _record_key(command.team, command.service, command.key)
         record = self._records.get(name)
         if record is None or record.holder != command.holder:
@@ -309,7 +310,7 @@
                 state=command.outcome,
                 status=command.status,
                 content_type=command.content_type,
-                body=command.body[:BODY_KEPT_BYTES],
+                body=command.body[:MAX_STORED_BODY_BYTES],
             ),
         )
 
@@ -326,9 +327,12 @@
 
     def _expire(self, now: float) -> None:
         for name, record in list(self._records.items()):
-            if record.begun + RECORD_LIFETIME_SECONDS >= now:
+            if record.started_at + RECORD_LIFETIME_SECONDS >= now:
                 continue
-            if _trusted_key_time(name.rsplit("\0", 1)[1], record.begun) is None:
+            if (
+                _trusted_key_time(name.rsplit("\0", 1)[1], record.started_at)
+                is None
+            ):
                 self._opaque_digests.add(_opaque_digest(name))
             self._set_record(name, None)
 
--- a/packages/endivestream/src/endivestream/version/credit.py
+++ b/packages/endivestream/src/endivestream/version/credit.py
@@ -13,19 +13,19 @@
 import msgspec
 
 
-class Level(NamedTuple):
+class CreditLevel(NamedTuple):
     """Credit of a team without the leader's reserve.
 
     Attributes:
-        rest: Level when the reserve was proposed.
-        most: Maximum level for a later leader, however much it refills.
+        level_without_reserve: Level when the reserve was proposed.
+        max_level: Maximum level for a later leader, however much it refills.
     """
 
-    rest: int
-    most: int
+    level_without_reserve: int
+    max_level: int
 
 
-class SetAside(msgspec.Struct, frozen=True, kw_only=True, tag=True):
+class ReserveCredit(msgspec.Struct, frozen=True, kw_only=True, tag="SetAside"):
     """Reserves credit of teams for the leader.
 
     Attributes:
@@ -36,11 +36,13 @@
     """
 
     term: int
-    levels: dict[str, Level]
+    levels: dict[str, CreditLevel]
 
 
-class DoneSettingAside(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Result of `SetAside`: rejected if its term is older than the last."""
+class CreditReserved(
+    msgspec.Struct, frozen=True, kw_only=True, tag="DoneSettingAside"
+):
+    """Result of `ReserveCredit`; rejected if its term is outdated."""
 
     accepted: bool
 
@@ -50,29 +52,29 @@
 
     def __init__(self) -> None:
         self._term = 0
-        self._levels: dict[str, Level] = {}
+        self._levels: dict[str, CreditLevel] = {}
 
     @property
-    def levels(self) -> dict[str, Level]:
+    def levels(self) -> dict[str, CreditLevel]:
         """Level of each team without the leader's reserve."""
         return self._levels
 
     def __repr__(self) -> str:
         return f"<Credit of {len(self._levels)} teams, term {self._term}>"
 
-    def apply(self, command: SetAside) -> DoneSettingAside:
+    def apply(self, command: ReserveCredit) -> CreditReserved:
         """Applies one command in log order, deterministically."""
         if command.term < self._term:
-            return DoneSettingAside(accepted=False)
+            return CreditReserved(accepted=False)
         self._term = command.term
         self._levels.update(command.levels)
-        return DoneSettingAside(accepted=True)
+        return CreditReserved(accepted=True)
 
-    def snapshot(self) -> tuple[int, dict[str, Level]]:
+    def snapshot(self) -> tuple[int, dict[str, CreditLevel]]:
         """Returns term and levels."""
         return self._term, dict(self._levels)
 
-    def restore(self, snapshot: tuple[int, dict[str, Level]]) -> None:
+    def restore(self, snapshot: tuple[int, dict[str, CreditLevel]]) -> None:
         """Replaces term and levels."""
         self._term, levels = snapshot
         self._levels = dict(levels)
--- a/packages/endivestream/src/endivestream/version/ledger.py
+++ b/packages/endivestream/src/endivestream/version/ledger.py
@@ -34,7 +34,7 @@
     loaded: dict[str, int]
 
 
-class IntendLoad(msgspec.Struct, frozen=True, kw_only=True, tag=True):
+class ReserveLoad(msgspec.Struct, frozen=True, kw_only=True, tag="IntendLoad"):
     """Reserves memory for a load order that is about to be sent.
 
     Attributes:
@@ -64,26 +64,26 @@
     model: str
 
 
-Command = RegisterTarget | IntendLoad | ConfirmLoad
+Command = RegisterTarget | ReserveLoad | ConfirmLoad
 
 
-class Reserved(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """The memory is reserved; `fence` is the fencing token of the order."""
+class MemoryReserved(msgspec.Struct, frozen=True, kw_only=True, tag="Reserved"):
+    """The memory is reserved; the order carries `fencing_token`."""
 
-    fence: int
+    fencing_token: int = msgspec.field(name="fence")
 
 
-class Refused(msgspec.Struct, frozen=True, kw_only=True, tag=True):
+class LedgerRejected(msgspec.Struct, frozen=True, kw_only=True, tag="Refused"):
     """The command was rejected; `reason` explains why, with the figures."""
 
     reason: str
 
 
-class Noted(msgspec.Struct, frozen=True, kw_only=True, tag=True):
+class LedgerUpdated(msgspec.Struct, frozen=True, kw_only=True, tag="Noted"):
     """The registration or confirmation was applied."""
 
 
-Result = Reserved | Refused | Noted
+Result = MemoryReserved | LedgerRejected | LedgerUpdated
 
 
 class Entry(NamedTuple):
@@ -92,13 +92,13 @@
     Attributes:
         memory: Size of the model in MiB.
         loaded: False from the intent until the target reports the model.
-        fence: Fencing token of the load order; 0 if the model was already
-            loaded when the target registered.
+        fencing_token: Fencing token of the load order; 0 if the model was
+            already loaded when the target registered.
     """
 
     memory: int
     loaded: bool
-    fence: int
+    fencing_token: int
 
 
 class Target(NamedTuple):
@@ -119,12 +119,12 @@
     entries: dict[str, Entry]
 
     @property
-    def held(self) -> int:
+    def reserved_mib(self) -> int:
         """Memory of loaded and reserved models, in MiB."""
         return sum(entry.memory for entry in self.entries.values())
 
 
-class Ledger:
+class MemoryLedger:
     """The replicated memory ledger."""
 
     def __init__(self) -> None:
@@ -136,8 +136,8 @@
         return self._targets
 
     def __repr__(self) -> str:
-        held = sum(target.held for target in self._targets.values())
-        return f"<Ledger: {len(self._targets)} targets, {held} MiB held>"
+        held = sum(target.reserved_mib for target in self._targets.values())
+        return f"<MemoryLedger: {len(self._targets)} targets, {held} MiB held>"
 
     def apply(self, index: int, command: Command) -> Result:
         """Applies one command in log order, deterministically.
@@ -153,7 +153,7 @@
         match command:
             case RegisterTarget():
                 return self._register(command)
-            case IntendLoad():
+            case ReserveLoad():
                 return self._reserve(index, command)
             case ConfirmLoad():
                 return self._confirm(command)
@@ -164,13 +164,13 @@
             registered is not None
             and registered.incarnation >= command.incarnation
         ):
-            return Refused(
+            return LedgerRejected(
                 reason=f"incarnation {command.incarnation} is not newer than "
                 f"{registered.incarnation}"
             )
         held = sum(command.loaded.values())
         if held > command.memory:
-            return Refused(
+            return LedgerRejected(
                 reason=f"the target reports {held} MiB loaded, more than its "
                 f"{command.memory} MiB of memory"
             )
@@ -187,46 +187,46 @@
                 for name, memory in command.loaded.items()
             },
         )
-        return Noted()
+        return LedgerUpdated()
 
     def _current_target(
-        self, command: IntendLoad | ConfirmLoad
-    ) -> Target | Refused:
+        self, command: ReserveLoad | ConfirmLoad
+    ) -> Target | LedgerRejected:
         target = self._targets.get(command.target)
         if target is None:
-            return Refused(reason=f"unknown target {command.target!r}")
+            return LedgerRejected(reason=f"unknown target {command.target!r}")
         if target.incarnation != command.incarnation:
-            return Refused(
+            return LedgerRejected(
                 reason=f"incarnation {command.incarnation} is not the current "
                 f"one, {target.incarnation}"
             )
         return target
 
-    def _reserve(self, index: int, command: IntendLoad) -> Result:
+    def _reserve(self, index: int, command: ReserveLoad) -> Result:
         target = self._current_target(command)
-        if isinstance(target, Refused):
+        if isinstance(target, LedgerRejected):
             return target
         entry = target.entries.get(command.model)
         if entry is not None:
-            return Reserved(fence=entry.fence)
-        if target.held + command.memory > target.memory:
-            return Refused(
-                reason=f"{target.held} MiB loaded or reserved + "
+            return MemoryReserved(fencing_token=entry.fencing_token)
+        if target.reserved_mib + command.memory > target.memory:
+            return LedgerRejected(
+                reason=f"{target.reserved_mib} MiB loaded or reserved + "
                 f"{command.memory} MiB for {command.model!r} exceed "
                 f"{target.memory} MiB"
             )
         target.entries[command.model] = Entry(command.memory, False, index)
-        return Reserved(fence=index)
+        return MemoryReserved(fencing_token=index)
 
     def _confirm(self, command: ConfirmLoad) -> Result:
         target = self._current_target(command)
-        if isinstance(target, Refused):
+        if isinstance(target, LedgerRejected):
             return target
         entry = target.entries.get(command.model)
         if entry is None:
-            return Refused(reason=f"no load order for {command.model!r}")
+            return LedgerRejected(reason=f"no load order for {command.model!r}")
         target.entries[command.model] = entry._replace(loaded=True)
-        return Noted()
+        return LedgerUpdated()
 
     def snapshot(self) -> dict[str, Target]:
         """Returns all targets."""
--- a/packages/endivestream/src/endivestream/version/placement.py
+++ b/packages/endivestream/src/endivestream/version/placement.py
@@ -101,7 +101,7 @@
         New loads within both limits, and copies that fit on no target.
     """
     free_memory = {
-        name: targets[name].memory - targets[name].held
+        name: targets[name].memory - targets[name].reserved_mib
         for name in live
         if name in targets
     }
--- a/packages/endivestream/src/endivestream/version/state.py
+++ b/packages/endivestream/src/endivestream/version/state.py
@@ -21,14 +21,14 @@
     configuration_lib.ApplyRules
     | configuration_lib.CreateKey
     | configuration_lib.RevokeKey
-    | calls_lib.BeginCall
-    | calls_lib.EndCall
+    | calls_lib.ClaimCall
+    | calls_lib.CompleteCall
     | calls_lib.AbandonCalls
     | calls_lib.ExpireCalls
     | ledger_lib.RegisterTarget
-    | ledger_lib.IntendLoad
+    | ledger_lib.ReserveLoad
     | ledger_lib.ConfirmLoad
-    | credit_lib.SetAside
+    | credit_lib.ReserveCredit
     | document_lib.ApplyDocument
     | departures_lib.Depart
     | planner_lease_lib.GrantPlannerLease
@@ -38,14 +38,14 @@
     configuration_lib.Applied
     | configuration_lib.Conflict
     | configuration_lib.Rejected
-    | calls_lib.Begun
-    | calls_lib.Known
-    | calls_lib.Forgotten
-    | calls_lib.Ended
-    | ledger_lib.Reserved
-    | ledger_lib.Refused
-    | ledger_lib.Noted
-    | credit_lib.DoneSettingAside
+    | calls_lib.CallStarted
+    | calls_lib.CallExists
+    | calls_lib.KeyRejected
+    | calls_lib.CommandApplied
+    | ledger_lib.MemoryReserved
+    | ledger_lib.LedgerRejected
+    | ledger_lib.LedgerUpdated
+    | credit_lib.CreditReserved
     | document_lib.DocumentApplied
     | departures_lib.Departed
     | planner_lease_lib.PlannerLeaseGranted
@@ -59,7 +59,7 @@
     configuration: configuration_lib.Snapshot
     calls: calls_lib.Snapshot
     ledger: dict[str, ledger_lib.Target]
-    credit: tuple[int, dict[str, credit_lib.Level]]
+    credit: tuple[int, dict[str, credit_lib.CreditLevel]]
     document: document_lib.Document | None = None
     departures: dict[str, int | None] = {}
     seat: planner_lease_lib.PlannerLeaseRecord = (
@@ -96,7 +96,7 @@
     def __init__(self) -> None:
         self.configuration = configuration_lib.Configuration()
         self.calls = calls_lib.Calls()
-        self.ledger = ledger_lib.Ledger()
+        self.ledger = ledger_lib.MemoryLedger()
         self.credit = credit_lib.Credit()
         self.document = document_lib.DocumentState()
         self.departures = departures_lib.Departures()
@@ -115,19 +115,19 @@
             ):
                 return self.configuration.apply(command)
             case (
-                calls_lib.BeginCall()
-                | calls_lib.EndCall()
+                calls_lib.ClaimCall()
+                | calls_lib.CompleteCall()
                 | calls_lib.AbandonCalls()
                 | calls_lib.ExpireCalls()
             ):
                 return self.calls.apply(command)
             case (
                 ledger_lib.RegisterTarget()
-                | ledger_lib.IntendLoad()
+                | ledger_lib.ReserveLoad()
                 | ledger_lib.ConfirmLoad()
             ):
                 return self.ledger.apply(index, command)
-            case credit_lib.SetAside():
+            case credit_lib.ReserveCredit():
                 return self.credit.apply(command)
             case document_lib.ApplyDocument():
                 return self.document.apply(command)
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -14,7 +14,7 @@
 
 
 def _begin(key, *, holder="h/1/a", fingerprint="f", at=T0):
-    return calls.BeginCall(
+    return calls.ClaimCall(
         team="t",
         service="s",
         key=key,
@@ -25,7 +25,7 @@
 
 
 def _end(key, outcome, *, holder="h/1/a", body=b""):
-    return calls.EndCall(
+    return calls.CompleteCall(
         team="t",
         service="s",
         key=key,
@@ -47,7 +47,7 @@
         It was only unreachable, and its response arrives later.
         """
         self.calls.apply(_begin("k"))
-        self.calls.apply(calls.AbandonCalls(host="h", before=2))
+        self.calls.apply(calls.AbandonCalls(host="h", first_live_incarnation=2))
         repeated = self.calls.apply(_begin("k", holder="g/1/b"))
         self.assertEqual(repeated.record.state, "unknown")
         self.calls.apply(_end("k", "done", body=b"yes"))
@@ -61,7 +61,7 @@
         a retry has already received `unknown`; that result is final.
         """
         self.calls.apply(_begin("k"))
-        self.calls.apply(calls.AbandonCalls(host="h", before=2))
+        self.calls.apply(calls.AbandonCalls(host="h", first_live_incarnation=2))
         self.calls.apply(_end("k", "not_run"))
         repeated = self.calls.apply(_begin("k", holder="g/1/b"))
         self.assertEqual(repeated.record.state, "unknown")
@@ -73,13 +73,15 @@
         """
         for number, host in enumerate("ghg"):
             self.calls.apply(_begin(f"k{number}", holder=f"{host}/1/{number}"))
-        self.assertEqual(set(self.calls.running_hosts), {("g", 1), ("h", 1)})
+        self.assertEqual(
+            set(self.calls.running_processes), {("g", 1), ("h", 1)}
+        )
         other = calls.Calls()
         other.restore(self.calls.snapshot())
-        other.apply(calls.AbandonCalls(host="g", before=2))
-        self.assertEqual(set(other.running_hosts), {("h", 1)})
+        other.apply(calls.AbandonCalls(host="g", first_live_incarnation=2))
+        self.assertEqual(set(other.running_processes), {("h", 1)})
         other.apply(_end("k1", "done", holder="h/1/1"))
-        self.assertEqual(list(other.running_hosts), [])
+        self.assertEqual(list(other.running_processes), [])
 
     def test_key_time_parses_keys_that_carry_a_time(self):
         """A timed key would be treated as opaque, or an opaque one as timed."""
@@ -109,13 +111,13 @@
         state = calls.Calls()
         key = f"{int(T0 + made)}-x" if timed else "opaque"
         first = state.apply(_begin(key))
-        hypothesis.assume(isinstance(first, calls.Begun))
+        hypothesis.assume(isinstance(first, calls.CallStarted))
         state.apply(_end(key, "done"))
         for after in sorted(expiries):
             if after <= resend:
                 state.apply(calls.ExpireCalls(now=T0 + after))
         again = state.apply(_begin(key, holder="g/1/b", at=T0 + resend))
-        self.assertNotIsInstance(again, calls.Begun)
+        self.assertNotIsInstance(again, calls.CallStarted)
 
     def test_opaque_keys_above_the_limit_are_rejected(self):
         """The replicated state would grow without bound.
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -171,7 +171,7 @@
         link._addresses = ["tcp://127.0.0.1:1"]
         link._use(link._addresses[0])
         calls = self.control.control.replicator.state.calls
-        await site.until(lambda: not calls.running_hosts)
+        await site.until(lambda: not calls.running_processes)
         reply = await self.order(name="order-7")
         self.assertEqual(reply.error["type"], "call_fate_unknown")
         self.assertEqual(len(service.ran), 1)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -19,7 +19,7 @@
 
 
 def _intend(name, model, memory, incarnation=1):
-    return ledger_lib.IntendLoad(
+    return ledger_lib.ReserveLoad(
         target=name, incarnation=incarnation, model=model, memory=memory
     )
 
@@ -30,7 +30,7 @@
 
 class LedgerTest(unittest.TestCase):
     def setUp(self):
-        self.ledger = ledger_lib.Ledger()
+        self.ledger = ledger_lib.MemoryLedger()
         self.ledger.apply(1, _register("t"))
 
     def test_two_planners_cannot_overcommit_a_target(self):
@@ -41,13 +41,13 @@
         """
         first = self.ledger.apply(2, _intend("t", "a", 60))
         second = self.ledger.apply(3, _intend("t", "b", 60))
-        self.assertEqual(first, ledger_lib.Reserved(fence=2))
+        self.assertEqual(first, ledger_lib.MemoryReserved(fencing_token=2))
         self.assertIn("60 MiB loaded or reserved + 60 MiB", second.reason)
 
     def test_repeated_order_keeps_its_fencing_token(self):
         self.ledger.apply(2, _intend("t", "a", 60))
         repeated = self.ledger.apply(7, _intend("t", "a", 60))
-        self.assertEqual(repeated, ledger_lib.Reserved(fence=2))
+        self.assertEqual(repeated, ledger_lib.MemoryReserved(fencing_token=2))
 
     def test_orders_for_an_older_incarnation_are_refused(self):
         self.ledger.apply(2, _register("t", incarnation=2))
@@ -56,7 +56,7 @@
 
     @hypothesis.given(st.data())
     def test_memory_is_never_overcommitted(self, data):
-        ledger = ledger_lib.Ledger()
+        ledger = ledger_lib.MemoryLedger()
         names = st.sampled_from(["t1", "t2"])
         models = st.sampled_from("abcd")
         for index in range(1, data.draw(st.integers(1, 40))):
@@ -83,7 +83,7 @@
                     )
             ledger.apply(index, command)
             for target in ledger.targets.values():
-                self.assertLessEqual(target.held, target.memory)
+                self.assertLessEqual(target.reserved_mib, target.memory)
 
 
 class PlanTest(unittest.TestCase):
@@ -99,7 +99,7 @@
         )
 
     def setUp(self):
-        self.ledger = ledger_lib.Ledger()
+        self.ledger = ledger_lib.MemoryLedger()
         self.ledger.apply(1, _register("t1", domain="d1"))
         self.ledger.apply(2, _register("t2", domain="d2"))
 
@@ -157,7 +157,7 @@
         st.lists(st.integers(20, 200), min_size=1, max_size=6),
     )
     def test_every_planned_load_is_accepted_by_the_ledger(self, models, sizes):
-        ledger = ledger_lib.Ledger()
+        ledger = ledger_lib.MemoryLedger()
         for number, memory in enumerate(sizes):
             ledger.apply(
                 number + 1,
@@ -172,4 +172,4 @@
             answer = ledger.apply(
                 index, _intend(load.target, load.model, load.memory)
             )
-            self.assertIsInstance(answer, ledger_lib.Reserved)
+            self.assertIsInstance(answer, ledger_lib.MemoryReserved)
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -61,7 +61,7 @@
             options=_options(late_orders_seconds=0.5, fencing=False),
         )
         await site.until(lambda: "e1" in self._ledger())
-        await site.until(lambda: self._ledger()["e1"].held == 100)
+        await site.until(lambda: self._ledger()["e1"].reserved_mib == 100)
         self.assertFalse(engine.loaded)
         await self.change(
             site.configuration.ApplyRules(
@@ -78,4 +78,4 @@
         )
         await site.until(lambda: engine.loaded)
         self.assertEqual(engine.most_memory, 100)
-        self.assertEqual(self._ledger()["e1"].held, 100)
+        self.assertEqual(self._ledger()["e1"].reserved_mib, 100)
--- a/tests/test_replicate.py
+++ b/tests/test_replicate.py
@@ -15,7 +15,7 @@
 
 
 def _begin(number):
-    return calls.BeginCall(
+    return calls.ClaimCall(
         team="t",
         service="s",
         key=f"k{number}",
