--- a/benchmarks/capacity/agreement.py
+++ b/benchmarks/capacity/agreement.py
@@ -46,7 +46,7 @@
                 on_push=lambda message: None,
                 silence=1.0,
                 attempt_seconds=0.3,
-                on_move=lambda: None,
+                on_leader_changed=lambda: None,
             )
             for _ in range(link_count)
         ]
--- a/packages/endivestream/src/endivestream/connection/addresses.py
+++ b/packages/endivestream/src/endivestream/connection/addresses.py
@@ -28,7 +28,7 @@
     return zlib.crc32("\n".join(hosts).encode())
 
 
-def homes(
+def rank_home_gateways(
     hosts: Iterable[messages.HostInfo], *, target: str
 ) -> list[messages.HostInfo]:
     """Returns hosts in the order in which a target should report to them.
--- a/packages/endivestream/src/endivestream/connection/exchange.py
+++ b/packages/endivestream/src/endivestream/connection/exchange.py
@@ -136,7 +136,7 @@
         self._idle.clear()
         self._client.close()
 
-    async def take(
+    async def acquire(
         self, host: str, port: int, *, seconds: float
     ) -> iostream.IOStream:
         """Returns an idle or a new connection to a target.
@@ -167,7 +167,7 @@
                 f"cannot connect to {host}:{port}: {error!r}", sent=False
             ) from error
 
-    def give_back(
+    def release(
         self,
         host: str,
         port: int,
@@ -237,7 +237,7 @@
             ExchangeError: The request could not be sent; `sent` is whether any
                 byte of it may have been.
         """
-        self._stream = await self._pool.take(
+        self._stream = await self._pool.acquire(
             self._host, self._port, seconds=connect_seconds
         )
         connection = http1connection.HTTP1Connection(
@@ -352,7 +352,7 @@
         if seconds is None or not is_written or not self._reader.is_framed:
             self.close()
             return
-        self._pool.give_back(
+        self._pool.release(
             self._host, self._port, self._stream, seconds=seconds
         )
         self._stream = None
--- a/packages/endivestream/src/endivestream/connection/leader_link.py
+++ b/packages/endivestream/src/endivestream/connection/leader_link.py
@@ -38,11 +38,11 @@
         on_push: Callable[[messages.Message], None],
         silence: float,
         attempt_seconds: float,
-        on_move: Callable[[], None],
+        on_leader_changed: Callable[[], None],
         keys: link_keys.LinkKeys | None = None,
     ) -> None:
         self._keys = keys
-        self._on_move = on_move
+        self._on_leader_changed = on_leader_changed
         self._addresses = list(addresses)
         self._context = context
         self._on_push = on_push
@@ -112,7 +112,7 @@
                 logs.event("leader_link_switched", peer=to_address)
             self._is_searching = True
             self._use(to_address)
-            self._on_move()
+            self._on_leader_changed()
 
     async def request(
         self,
--- a/packages/endivestream/src/endivestream/connection/link_keys.py
+++ b/packages/endivestream/src/endivestream/connection/link_keys.py
@@ -87,7 +87,7 @@
         raise OSError(f"{path}: {error}") from error
 
 
-class Doorkeeper:
+class LinkAuthenticator:
     """Decides which hosts' keys a control host accepts."""
 
     def __init__(
--- a/packages/endivestream/src/endivestream/connection/links.py
+++ b/packages/endivestream/src/endivestream/connection/links.py
@@ -23,8 +23,8 @@
 from endivestream import loop_meter
 from endivestream import messages
 from endivestream import tasks
+from endivestream.connection import frame_socket as frame_socket_lib
 from endivestream.connection import link_keys
-from endivestream.connection import port as port_lib
 
 # No message of the system is larger.
 _MAX_FRAME_BYTES = 64 * 1024 * 1024
@@ -85,7 +85,7 @@
         self._meter = meter or loop_meter.LoopMeter()
         self._handle = handle
         self._context = context
-        self._frame_socket: port_lib.FrameSocket | None = None
+        self._frame_socket: frame_socket_lib.FrameSocket | None = None
         self._answer_tasks: set[asyncio.Task[None]] = set()
 
     @property
@@ -113,7 +113,7 @@
                 f"cannot listen on {self._address}: {error}"
             ) from error
         self._address = socket.getsockopt_string(zmq.LAST_ENDPOINT)
-        self._frame_socket = port_lib.FrameSocket(
+        self._frame_socket = frame_socket_lib.FrameSocket(
             socket=socket, on_frames=self._read
         )
         self._frame_socket.start()
@@ -219,7 +219,7 @@
         self._expects_pushes = expects_pushes
         # A request timed out and no frame has arrived since it was sent.
         self._is_suspect = False
-        self._frame_socket: port_lib.FrameSocket | None = None
+        self._frame_socket: frame_socket_lib.FrameSocket | None = None
         self._tasks: list[asyncio.Task[None]] = []
         self._ids = itertools.count(1)
         self._pending: dict[int, asyncio.Future[messages.Message]] = {}
@@ -251,7 +251,7 @@
             self._keys.secure_client(socket)
         socket.connect(self._address)
         self._last_received_at = time.monotonic()
-        self._frame_socket = port_lib.FrameSocket(
+        self._frame_socket = frame_socket_lib.FrameSocket(
             socket=socket, on_frames=self._read
         )
         self._frame_socket.start()
@@ -334,7 +334,7 @@
             with self._meter.span(type(message).__name__):
                 self._on_push(message)
         except Exception as error:
-            logs.failed("push_failed", error, peer=self._address)
+            logs.log_error("push_failed", error, peer=self._address)
 
     async def _keep_alive(self) -> None:
         while True:
--- a/packages/endivestream/src/endivestream/connection/registry.py
+++ b/packages/endivestream/src/endivestream/connection/registry.py
@@ -15,11 +15,11 @@
 # How long the departure of a target is remembered. A report that was sent
 # before may arrive seconds later and would add the target again (symptom:
 # requests go to an address that another service has taken over).
-_REMEMBER_SECONDS = 60.0
+_DEPARTURE_KEPT_SECONDS = 60.0
 # Each process numbers its reports from the beginning. If the start time of the
 # departed process is unknown, a report up to this number is attributed to a
 # newer process; a process that was in use before it departed has sent more.
-_FIRST_REPORTS = 3
+_MAX_FIRST_REPORT_NUMBER = 3
 
 
 class Loaded(msgspec.Struct, frozen=True, array_like=True):
@@ -88,7 +88,7 @@
     received_at: float
 
 
-class _Gone(NamedTuple):
+class _Departure(NamedTuple):
     """Record of a target that was removed from the table.
 
     Attributes:
@@ -103,7 +103,7 @@
     def covers(self, registration: Registration) -> bool:
         """Whether a registration is of the departed process."""
         if self.started_at_ms is None:
-            return registration.report_number > _FIRST_REPORTS
+            return registration.report_number > _MAX_FIRST_REPORT_NUMBER
         return registration.started_at_ms <= self.started_at_ms
 
 
@@ -112,7 +112,7 @@
 
     def __init__(self) -> None:
         self._sessions: dict[str, Session] = {}
-        self._gone: dict[str, _Gone] = {}
+        self._departures: dict[str, _Departure] = {}
 
     def __repr__(self) -> str:
         return f"<Registry of {len(self._sessions)} targets>"
@@ -126,7 +126,7 @@
         """Returns the entry of a target, or None."""
         return self._sessions.get(name)
 
-    def note(self, registration: Registration, now: float) -> list[str]:
+    def add(self, registration: Registration, now: float) -> list[str]:
         """Adds a registration to the table, unless it is outdated.
 
         Args:
@@ -138,7 +138,7 @@
             whose address it has taken over. Empty if the registration is
             outdated.
         """
-        gone = self._gone.get(registration.name)
+        gone = self._departures.get(registration.name)
         if gone is not None and gone.covers(registration):
             return []
         known = self._sessions.get(registration.name)
@@ -157,11 +157,11 @@
             # partition; its address belongs to a newer process.
             return []
         for rival in rivals:
-            self._forget(rival.name, now)
+            self._remove(rival.name, now)
         self._sessions[registration.name] = Session(registration, now)
         return [registration.name, *(rival.name for rival in rivals)]
 
-    def leave(
+    def deregister(
         self, name: str, now: float, started_at_ms: int | None = None
     ) -> bool:
         """Removes a target that deregistered, and records its departure.
@@ -186,19 +186,19 @@
         ):
             return False
         if session is not None:
-            self._forget(name, now)
+            self._remove(name, now)
             return True
         # Entry hosts may still list the target from the previous leader.
-        known = self._gone.get(name)
+        known = self._departures.get(name)
         if started_at_ms is None and known is not None:
             started_at_ms = known.started_at_ms
-        self._gone[name] = _Gone(started_at_ms, now)
+        self._departures[name] = _Departure(started_at_ms, now)
         return False
 
     @property
     def departed(self) -> tuple[str, ...]:
         """Names of the targets that recently departed or were replaced."""
-        return tuple(self._gone.keys() - self._sessions.keys())
+        return tuple(self._departures.keys() - self._sessions.keys())
 
     def started_at_ms(self, name: str) -> int | None:
         """Returns the start time of a target in the table, or None."""
@@ -218,17 +218,19 @@
             if now - session.received_at > silence
         ]
         for name in silent:
-            self._forget(name, now)
-        for name, gone in list(self._gone.items()):
-            if now - gone.since > _REMEMBER_SECONDS:
-                del self._gone[name]
+            self._remove(name, now)
+        for name, gone in list(self._departures.items()):
+            if now - gone.since > _DEPARTURE_KEPT_SECONDS:
+                del self._departures[name]
         return silent
 
     def adopt(self, registrations: Iterable[Registration], now: float) -> None:
         """Adds registrations from another host, unless they are outdated."""
         for each in registrations:
-            self.note(each, now)
+            self.add(each, now)
 
-    def _forget(self, name: str, now: float) -> None:
+    def _remove(self, name: str, now: float) -> None:
         session = self._sessions.pop(name)
-        self._gone[name] = _Gone(session.registration.started_at_ms, now)
+        self._departures[name] = _Departure(
+            session.registration.started_at_ms, now
+        )
--- a/packages/endivestream/src/endivestream/connection/targets.py
+++ b/packages/endivestream/src/endivestream/connection/targets.py
@@ -53,7 +53,7 @@
         return self._sessions
 
     @property
-    def held_back(self) -> set[str]:
+    def drained_by_operator(self) -> set[str]:
         """Names of the targets that operators drain."""
         return self._drained_by_operator
 
@@ -97,7 +97,7 @@
         )
         return True
 
-    def hold_back(self, name: str, draining: bool) -> bool:
+    def set_operator_drain(self, name: str, draining: bool) -> bool:
         """Starts or ends an operator's drain of a target.
 
         Returns:
--- a/packages/endivestream/src/endivestream/connection/watch.py
+++ b/packages/endivestream/src/endivestream/connection/watch.py
@@ -33,7 +33,7 @@
 _LINK_SILENCE_SECONDS = 0.9
 
 
-class Watch:
+class LeaderSession:
     """Session with the leader. Lives as long as the process."""
 
     def __init__(
@@ -106,16 +106,16 @@
         self._seeds = tuple(controls)
         self._update_controls([c for c in self._controls if c not in controls])
 
-    def poke(self) -> None:
+    def renew_now(self) -> None:
         """Renews immediately, because something changed on this host."""
         self._renewal_requested.set()
 
-    async def tell(self, message: messages.Message) -> None:
+    async def send(self, message: messages.Message) -> None:
         """Sends the leader, if it is known, a message without an answer."""
         if self._leader:
             await self._link(self._leader).send(message)
 
-    async def ask(
+    async def request(
         self, message: messages.Message, *, seconds: float
     ) -> messages.Message | None:
         """Sends the leader a request; None if unknown or unanswered."""
--- a/packages/endivestream/src/endivestream/findings.py
+++ b/packages/endivestream/src/endivestream/findings.py
@@ -74,7 +74,7 @@
     return f"{text}; valid: {listed}"
 
 
-class Outcome(enum.StrEnum):
+class RunState(enum.StrEnum):
     """Whether the work of a failed request may have run.
 
     `NOT_RUN` is used only when it is proved: no byte of the request was sent to
@@ -100,7 +100,7 @@
             help.
     """
 
-    outcome: Outcome
+    outcome: RunState
     reason: str
     detail: str
     status: int
@@ -125,7 +125,7 @@
 ) -> Failure:
     """Returns a failure of work of which no byte was sent to a target."""
     return Failure(
-        outcome=Outcome.NOT_RUN,
+        outcome=RunState.NOT_RUN,
         reason=reason,
         detail=detail,
         status=status,
--- a/packages/endivestream/src/endivestream/logs.py
+++ b/packages/endivestream/src/endivestream/logs.py
@@ -133,7 +133,7 @@
     logger.opt(depth=1).warning(line(name, fields))
 
 
-def failed(name: str, error: BaseException, **fields: Any) -> None:
+def log_error(name: str, error: BaseException, **fields: Any) -> None:
     """Logs an unexpected error with the innermost frames of its traceback."""
     frames = traceback.extract_tb(error.__traceback__)[-_MAX_TRACEBACK_FRAMES:]
     where = " < ".join(
--- a/packages/endivestream/src/endivestream/loop_meter.py
+++ b/packages/endivestream/src/endivestream/loop_meter.py
@@ -87,12 +87,12 @@
         return dict(self._tallies)
 
     @property
-    def late(self) -> float:
+    def lateness(self) -> float:
         """Lateness of the loop at the last check, in seconds."""
         return self._lateness
 
     @property
-    def latest(self) -> float:
+    def max_lateness(self) -> float:
         """Maximum lateness since the process started, in seconds."""
         return self._max_lateness
 
--- a/packages/endivestream/src/endivestream/messages.py
+++ b/packages/endivestream/src/endivestream/messages.py
@@ -446,13 +446,13 @@
 # Frames of at least this size are compressed. Demand reports and tables of
 # targets repeat names and shrink to a third or less. Traffic between failure
 # domains costs more than the few microseconds that compression takes.
-_PLAIN_BYTES = 200
-_PACKING = 1
+_MIN_COMPRESSED_BYTES = 200
+_COMPRESSION_LEVEL = 1
 # First byte of a compressed frame (zlib). A plain frame starts with the byte
 # of a msgpack array of two elements.
-_PACKED = b"\x78"
+_COMPRESSED_PREFIX = b"\x78"
 # No message of the system is larger when decompressed.
-_MOST_BYTES = 64 * 1024 * 1024
+_MAX_FRAME_BYTES = 64 * 1024 * 1024
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Envelope)
@@ -461,9 +461,9 @@
 def encode(envelope: Envelope) -> bytes:
     """Returns an envelope's frame, compressed if that makes it shorter."""
     data = _encoder.encode(envelope)
-    if len(data) < _PLAIN_BYTES:
+    if len(data) < _MIN_COMPRESSED_BYTES:
         return data
-    packed = zlib.compress(data, _PACKING)
+    packed = zlib.compress(data, _COMPRESSION_LEVEL)
     return packed if len(packed) < len(data) else data
 
 
@@ -473,20 +473,20 @@
     Raises:
         msgspec.DecodeError: The frame is malformed.
     """
-    if data[:1] == _PACKED:
-        data = _unpacked(data)
+    if data[:1] == _COMPRESSED_PREFIX:
+        data = _decompress(data)
     return _decoder.decode(data)
 
 
-def _unpacked(data: bytes) -> bytes:
+def _decompress(data: bytes) -> bytes:
     unpacker = zlib.decompressobj()
     try:
-        plain = unpacker.decompress(data, _MOST_BYTES)
+        plain = unpacker.decompress(data, _MAX_FRAME_BYTES)
     except zlib.error as error:
         raise msgspec.DecodeError(
             f"invalid compressed frame: {error}"
         ) from error
     if not unpacker.eof:
-        # Truncated, or larger than `_MOST_BYTES`.
+        # Truncated, or larger than `_MAX_FRAME_BYTES`.
         raise msgspec.DecodeError("compressed frame is truncated or too large")
     return plain
--- a/packages/endivestream/src/endivestream/process/configuration_freshness.py
+++ b/packages/endivestream/src/endivestream/process/configuration_freshness.py
@@ -30,7 +30,7 @@
     def __init__(
         self,
         *,
-        watch: watch_lib.Watch,
+        watch: watch_lib.LeaderSession,
         version: Callable[[], int],
         wait_for_change: Callable[[float], Awaitable[None]],
     ) -> None:
@@ -74,7 +74,7 @@
                 )
                 return False
             if newest_version is not None:
-                self._watch.poke()
+                self._watch.renew_now()
                 await self._wait_for_change(remaining)
                 continue
             newest_version = await self._query_newest()
@@ -95,7 +95,7 @@
         return await asyncio.shield(self._query)
 
     async def _send_query(self) -> int | None:
-        answer = await self._watch.ask(
+        answer = await self._watch.request(
             site_messages.AskVersion(), seconds=_TIMEOUT_SECONDS
         )
         if isinstance(answer, site_messages.ToldVersion):
--- a/packages/endivestream/src/endivestream/process/control.py
+++ b/packages/endivestream/src/endivestream/process/control.py
@@ -119,9 +119,9 @@
             keys=keys,
             meter=self._meter,
         )
-        self._authenticator: link_keys.Doorkeeper | None = None
+        self._authenticator: link_keys.LinkAuthenticator | None = None
         if keys is not None:
-            self._authenticator = link_keys.Doorkeeper(
+            self._authenticator = link_keys.LinkAuthenticator(
                 context=context,
                 allowed_folder=settings.link_keys.allowed_folder,
             )
--- a/packages/endivestream/src/endivestream/process/credit_requests.py
+++ b/packages/endivestream/src/endivestream/process/credit_requests.py
@@ -46,7 +46,7 @@
     def __init__(
         self,
         *,
-        watch: watch_lib.Watch,
+        watch: watch_lib.LeaderSession,
         host: str,
         on_unclaimed: Callable[[site_messages.Grant], None],
     ) -> None:
@@ -91,7 +91,7 @@
             host=self._host,
             credit_requests=tuple(request.wanted for request in batch),
         )
-        answer = await self._watch.ask(message, seconds=_TIMEOUT_SECONDS)
+        answer = await self._watch.request(message, seconds=_TIMEOUT_SECONDS)
         grants: tuple[site_messages.Grant | None, ...] = ()
         if isinstance(answer, site_messages.GiveCredit):
             grants = answer.grants
--- a/packages/endivestream/src/endivestream/process/dispatcher.py
+++ b/packages/endivestream/src/endivestream/process/dispatcher.py
@@ -147,7 +147,7 @@
     def drain(self, name: str, draining: bool) -> bool:
         """Starts or stops draining a target; returns False if unknown."""
         now = time.monotonic()
-        is_known = self.targets.hold_back(name, draining)
+        is_known = self.targets.set_operator_drain(name, draining)
         self._update_targets([name], now)
         self._grant_ready(now)
         return is_known
--- a/packages/endivestream/src/endivestream/process/entry.py
+++ b/packages/endivestream/src/endivestream/process/entry.py
@@ -101,7 +101,7 @@
         self._previous_lease_until = -math.inf
         self._drain_deadline = math.inf
         self._incarnation = time.time_ns() // 1_000_000
-        self._watch = watch_lib.Watch(
+        self._watch = watch_lib.LeaderSession(
             controls=settings.controls,
             context=self._context,
             every=settings.renew_seconds,
@@ -118,7 +118,7 @@
             domain=settings.domain,
             context=self._context,
             on_push=self._apply_push,
-            on_relay_changed=self._watch.poke,
+            on_relay_changed=self._watch.renew_now,
             has_lease=lambda: self._watch.lease_until > clock.now(),
             meter=self._meter,
         )
@@ -133,7 +133,7 @@
         self._rate_limits = entry_rate_limits.EntryRateLimits(
             limits=self._limits,
             watch=self._watch,
-            request_renewal=self._watch.poke,
+            request_renewal=self._watch.renew_now,
         )
         self._metrics = site_metrics.EntryMetrics(
             running=lambda: self.running,
@@ -176,7 +176,7 @@
             confirm_configuration=self._freshness.confirm,
             request_received=self._count_demand,
             target_assigned=self._on_target_found,
-            model_idle=self._watch.poke,
+            model_idle=self._watch.renew_now,
             slot_freed=self._signal_change,
             rate_limit_reported=self._rate_limits.record_answer,
             acquire_send=self._rate_limits.acquire_send,
@@ -269,7 +269,7 @@
         )
         self._draining = True
         self._drain_deadline = deadline
-        self._watch.poke()
+        self._watch.renew_now()
         if self._server is not None:
             # Responses on open connections tell callers to close them.
             self._server.conn_params.no_keep_alive = True
@@ -416,7 +416,7 @@
             news.base_position
         ):
             # An update in between was lost. The next renewal fetches it.
-            self._watch.poke()
+            self._watch.renew_now()
             return
         self._position = news.position
         removed = list(news.removed_targets)
@@ -456,7 +456,7 @@
             version=document.version,
             leader=self._watch.leader,
             lease_s=self._watch.lease_until - clock.now(),
-            loop_late_s=self._meter.late,
+            loop_late_s=self._meter.lateness,
         )
         if self._server is not None:
             limits = document.limits
@@ -539,7 +539,7 @@
         return stop
 
     def _send_to_leader(self, message: site_messages.Message) -> None:
-        self._run_in_background(self._watch.tell(message))
+        self._run_in_background(self._watch.send(message))
 
     def _run_in_background(
         self, coroutine: Coroutine[object, object, None]
--- a/packages/endivestream/src/endivestream/process/entry_credit.py
+++ b/packages/endivestream/src/endivestream/process/entry_credit.py
@@ -31,7 +31,7 @@
         self,
         *,
         credit_shares: credit_shares_lib.CreditShares,
-        watch: watch_lib.Watch,
+        watch: watch_lib.LeaderSession,
         host: str,
     ) -> None:
         self._credit_shares = credit_shares
--- a/packages/endivestream/src/endivestream/process/entry_rate_limits.py
+++ b/packages/endivestream/src/endivestream/process/entry_rate_limits.py
@@ -41,7 +41,7 @@
         self,
         *,
         limits: rate_limits_lib.RateLimits,
-        watch: watch_lib.Watch,
+        watch: watch_lib.LeaderSession,
         request_renewal: Callable[[], None],
     ) -> None:
         """Starts without any limits.
@@ -161,7 +161,7 @@
             self._outcomes["own"] += 1
             return None
         age = self._limits.age(registration.name, now)
-        answer = await self._watch.ask(
+        answer = await self._watch.request(
             site_messages.AskSend(
                 limit=site_messages.RateLimit(
                     registration.name, registration.started_at_ms, rate, age
--- a/packages/endivestream/src/endivestream/process/entry_repeats.py
+++ b/packages/endivestream/src/endivestream/process/entry_repeats.py
@@ -21,7 +21,7 @@
     """Repeat budgets by service, created once when the process starts."""
 
     def __init__(
-        self, *, bounds: site_settings.Bounds, watch: watch_lib.Watch
+        self, *, bounds: site_settings.Bounds, watch: watch_lib.LeaderSession
     ) -> None:
         self._bounds = bounds
         # Budgets count their first window from here, not from their first
@@ -56,7 +56,7 @@
         """Requests a repeat from the leader; returns whether it was granted."""
         if self._backoff_until.get(service, 0.0) > clock.now():
             return False
-        answer = await self._watch.ask(
+        answer = await self._watch.request(
             site_messages.AskRepeat(service=service), seconds=_TIMEOUT_SECONDS
         )
         granted = (
--- a/packages/endivestream/src/endivestream/process/gateway.py
+++ b/packages/endivestream/src/endivestream/process/gateway.py
@@ -104,7 +104,7 @@
             on_push=self._on_push,
             silence=settings.peers.silence_seconds,
             attempt_seconds=settings.timing.election_seconds,
-            on_move=self._on_leader_moved,
+            on_leader_changed=self._on_leader_moved,
             keys=keys,
         )
         self._tasks: list[asyncio.Task[None]] = []
@@ -416,7 +416,7 @@
     key: configuration_lib.KeyRecord,
 ) -> findings.Failure:
     return findings.Failure(
-        outcome=findings.Outcome.FAILED,
+        outcome=findings.RunState.FAILED,
         reason="key_withdrawn",
         detail=f"the key {key.label!r} was withdrawn",
         status=401,
--- a/packages/endivestream/src/endivestream/process/handlers.py
+++ b/packages/endivestream/src/endivestream/process/handlers.py
@@ -106,9 +106,9 @@
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
         """Responds to an error that no route handled, in the usual format."""
-        outcome = findings.Outcome.UNKNOWN
+        outcome = findings.RunState.UNKNOWN
         if status_code in (404, 405):
-            outcome = findings.Outcome.NOT_RUN
+            outcome = findings.RunState.NOT_RUN
         failure = findings.Failure(
             outcome=outcome,
             reason="not_found" if status_code == 404 else "internal_error",
@@ -328,7 +328,7 @@
 
 def _caller_disconnected() -> findings.Failure:
     return findings.Failure(
-        outcome=findings.Outcome.FAILED,
+        outcome=findings.RunState.FAILED,
         reason="caller_left",
         detail="the caller closed the connection",
         status=499,
--- a/packages/endivestream/src/endivestream/process/inner.py
+++ b/packages/endivestream/src/endivestream/process/inner.py
@@ -78,7 +78,7 @@
 
     def home_gateway_urls(self, target: str) -> list[str]:
         """Returns the URLs to which a target should report, best first."""
-        hosts = addresses.homes(self.gateway.hosts, target=target)
+        hosts = addresses.rank_home_gateways(self.gateway.hosts, target=target)
         return [host.inner_url for host in hosts]
 
     def send_findings(self, status: int, reason: str, found: list[str]) -> None:
--- a/packages/endivestream/src/endivestream/process/planner.py
+++ b/packages/endivestream/src/endivestream/process/planner.py
@@ -314,7 +314,7 @@
             with self._meter.span("plan"):
                 self._plan()
         except Exception as error:
-            logs.failed("plan_failed", error)
+            logs.log_error("plan_failed", error)
 
     def _plan(self) -> None:
         now = clock.now()
--- a/packages/endivestream/src/endivestream/process/site_leader.py
+++ b/packages/endivestream/src/endivestream/process/site_leader.py
@@ -97,7 +97,7 @@
             name,
             started_at,
         ) in leader_context.replicator.state.departures.start_times_ms.items():
-            self._registry.leave(name, self._started_at, started_at)
+            self._registry.deregister(name, self._started_at, started_at)
         self._silent_targets: set[str] = set()
         self._sessions: dict[str, _EntryHostSession] = {}
         self._live_hosts: tuple[site_messages.EntryHost, ...] = ()
@@ -377,7 +377,7 @@
         notified even if it has not reported to this leader.
         """
         started_at = self._registry.started_at_ms(name)
-        was_known = self._registry.leave(name, clock.now())
+        was_known = self._registry.deregister(name, clock.now())
         logs.event(
             "target_deregistered",
             target=name,
@@ -400,7 +400,7 @@
     def _register(self, registration: registry_lib.Registration) -> None:
         now = clock.now()
         previous = self._registry.find(registration.name)
-        changed = self._registry.note(registration, now)
+        changed = self._registry.add(registration, now)
         if not changed:
             return
         self._lease_manager.forward_report(registration)
--- a/packages/endivestream/src/endivestream/process/site_metrics.py
+++ b/packages/endivestream/src/endivestream/process/site_metrics.py
@@ -50,12 +50,12 @@
         self._gauge(
             "loop_late_seconds",
             "Lateness of the event loop at the last check, in seconds",
-            lambda: meter.late,
+            lambda: meter.lateness,
         )
         self._gauge(
             "loop_latest_seconds",
             "Maximum lateness of the event loop since the process started",
-            lambda: meter.latest,
+            lambda: meter.max_lateness,
         )
         self._registry.register(_LoopWorkCollector(meter=meter))
 
--- a/packages/endivestream/src/endivestream/process/views.py
+++ b/packages/endivestream/src/endivestream/process/views.py
@@ -151,7 +151,8 @@
                 "domain": session.info.domain,
                 "url": session.info.url,
                 "live": name in live,
-                "draining": session.draining or name in targets.held_back,
+                "draining": session.draining
+                or name in targets.drained_by_operator,
                 "silent_s": round(now - session.received_at, 2),
                 "held_mib": entry.reserved_mib if entry else 0,
                 "memory_mib": session.info.memory,
--- a/packages/endivestream/src/endivestream/request/forward.py
+++ b/packages/endivestream/src/endivestream/request/forward.py
@@ -425,7 +425,7 @@
                 retry_after=None if is_past_deadline else retry_after,
             )
         return findings.Failure(
-            outcome=findings.Outcome.UNKNOWN,
+            outcome=findings.RunState.UNKNOWN,
             reason=reason,
             detail=f"the request may have run: {reason}",
             status=504 if is_past_deadline else 502,
--- a/packages/endivestream/src/endivestream/request/relay.py
+++ b/packages/endivestream/src/endivestream/request/relay.py
@@ -131,7 +131,7 @@
                     return result
                 case _Rejected(status=status, detail=detail):
                     return findings.Failure(
-                        outcome=findings.Outcome.FAILED,
+                        outcome=findings.RunState.FAILED,
                         reason="target_rejected",
                         detail=detail,
                         status=status,
@@ -174,7 +174,9 @@
     def _failure(self, reason: str, detail: str) -> findings.Failure:
         """Returns a failure that states whether the request may have run."""
         outcome = (
-            findings.Outcome.FAILED if self._sent else findings.Outcome.NOT_RUN
+            findings.RunState.FAILED
+            if self._sent
+            else findings.RunState.NOT_RUN
         )
         return findings.Failure(
             outcome=outcome,
--- a/packages/endivestream/src/endivestream/request/service_calls.py
+++ b/packages/endivestream/src/endivestream/request/service_calls.py
@@ -167,7 +167,7 @@
             raise
         if isinstance(result, Answer):
             end_command = self._end_command("done", result)
-        elif result.outcome == findings.Outcome.NOT_RUN:
+        elif result.outcome == findings.RunState.NOT_RUN:
             end_command = self._end_command("not_run")
         else:
             end_command = self._end_command("unknown")
@@ -238,7 +238,7 @@
                 "target_failed", cause, status=503, retry_after=1.0
             )
         return findings.Failure(
-            outcome=findings.Outcome.UNKNOWN,
+            outcome=findings.RunState.UNKNOWN,
             reason="target_failed",
             detail=f"the service failed after the call was sent: {cause}",
             status=502,
@@ -300,7 +300,7 @@
         )
     if record.state == "running":
         return findings.Failure(
-            outcome=findings.Outcome.UNKNOWN,
+            outcome=findings.RunState.UNKNOWN,
             reason="call_running",
             detail="an earlier attempt of this call is still running; retry "
             "later to receive its answer",
@@ -308,7 +308,7 @@
             retry_after=1.0,
         )
     return findings.Failure(
-        outcome=findings.Outcome.UNKNOWN,
+        outcome=findings.RunState.UNKNOWN,
         reason="call_fate_unknown",
         detail="this call was sent and its answer was lost; it is not sent "
         "again",
@@ -319,7 +319,7 @@
 def _forgotten_key_failure(reason: str) -> findings.Failure:
     if reason == "expired":
         return findings.Failure(
-            outcome=findings.Outcome.UNKNOWN,
+            outcome=findings.RunState.UNKNOWN,
             reason="idempotency_key_expired",
             detail="this Idempotency-Key is too old; its call may have run",
             status=409,
--- a/packages/endivestream/src/endivestream/tasks.py
+++ b/packages/endivestream/src/endivestream/tasks.py
@@ -31,7 +31,7 @@
         return
     error = task.exception()
     if error is not None:
-        logs.failed("task_failed", error, task=task.get_name())
+        logs.log_error("task_failed", error, task=task.get_name())
 
 
 async def cancel(tasks: Iterable[asyncio.Task[Any] | None]) -> None:
--- a/tests/leader_site.py
+++ b/tests/leader_site.py
@@ -242,7 +242,7 @@
             self.targets.pop(name, None)
         self.position = update.position
 
-    async def ask(self, message, *, seconds=0.4):
+    async def request(self, message, *, seconds=0.4):
         """Returns the leader's answer; None after a timeout."""
         self._site.requests_sent += 1
         self._number += 1
@@ -260,7 +260,7 @@
         if self.is_frozen:
             return None
         sent_at = clock.now()
-        answer = await self.ask(
+        answer = await self.request(
             site_messages.Renew(
                 host=self.entry,
                 version=self.version,
@@ -389,7 +389,7 @@
 
     async def request_send(self, host, target, rate):
         """Requests a send to a target with a rate limit."""
-        answer = await host.ask(
+        answer = await host.request(
             site_messages.AskSend(
                 limit=site_messages.RateLimit(target, 1, rate, 0.0),
                 max_wait_seconds=1.0,
--- a/tests/test_configuration_freshness.py
+++ b/tests/test_configuration_freshness.py
@@ -21,7 +21,7 @@
         self.pokes = 0
         self.unreachable_until = 0.0
 
-    async def ask(self, message, *, seconds):
+    async def request(self, message, *, seconds):
         assert isinstance(message, site_messages.AskVersion), message
         self.queries += 1
         if clock.now() < self.unreachable_until:
@@ -31,7 +31,7 @@
         await asyncio.sleep(ROUND_TRIP_SECONDS / 2)
         return site_messages.ToldVersion(version=version)
 
-    def poke(self):
+    def renew_now(self):
         self.pokes += 1
 
 
--- a/tests/test_entry_credit.py
+++ b/tests/test_entry_credit.py
@@ -20,7 +20,7 @@
         self.batch_sizes = []
         self.answer_seconds = 0.0
 
-    async def ask(self, message, *, seconds):
+    async def request(self, message, *, seconds):
         self.requests += 1
         if self.requests <= self.lost:
             return None
--- a/tests/test_entry_repeats.py
+++ b/tests/test_entry_repeats.py
@@ -21,7 +21,7 @@
             bounds=site_settings.Bounds(), watch=self
         )
 
-    async def ask(self, message, *, seconds):
+    async def request(self, message, *, seconds):
         self.requests += 1
         return self.answers.pop(0)
 
--- a/tests/test_port.py
+++ b/tests/test_frame_socket.py
@@ -5,7 +5,7 @@
 import unittest
 from unittest import mock
 
-from endivestream.connection import port as port_lib
+from endivestream.connection import frame_socket as frame_socket_lib
 import zmq
 
 
@@ -26,8 +26,8 @@
             lambda: all(s.poll(0, zmq.POLLOUT) for s in (left, right))
         )
         ports = [
-            port_lib.FrameSocket(socket=left, on_frames=on_left),
-            port_lib.FrameSocket(socket=right, on_frames=on_right),
+            frame_socket_lib.FrameSocket(socket=left, on_frames=on_left),
+            frame_socket_lib.FrameSocket(socket=right, on_frames=on_right),
         ]
         for port in ports:
             port.start()
@@ -85,7 +85,7 @@
         self.loop_pass = 0
         left, right = await self._pair(read, lambda frames: None)
         del left
-        with mock.patch.object(port_lib, "_MAX_FRAMES_PER_READ", 10):
+        with mock.patch.object(frame_socket_lib, "_MAX_FRAMES_PER_READ", 10):
             for _ in range(500):
                 right.send([b"frame"])
             while len(received) < 500:
@@ -98,7 +98,7 @@
         socket = self.context.socket(zmq.DEALER)
         socket.setsockopt(zmq.SNDHWM, 1)
         socket.setsockopt(zmq.IMMEDIATE, 1)
-        port = port_lib.FrameSocket(
+        port = frame_socket_lib.FrameSocket(
             socket=socket, on_frames=lambda frames: None
         )
         port.start()
--- a/tests/test_limited_hosts.py
+++ b/tests/test_limited_hosts.py
@@ -70,7 +70,7 @@
     def _renew_soon(self):
         self._site.start_task(self.renew())
 
-    async def ask(self, message, *, seconds):
+    async def request(self, message, *, seconds):
         """Sends a request to the leader; replaces the leader session."""
         await self._wait_while_frozen()
         leader = self._site.leader_role
@@ -93,7 +93,7 @@
         self._is_renewing = True
         leader = self._site.leader_role
         host = site_messages.EntryHost(self.name, 1, "a", self.name, False)
-        answer = await self.ask(
+        answer = await self.request(
             site_messages.Renew(
                 host=host,
                 version=0,
--- a/tests/test_link_keys.py
+++ b/tests/test_link_keys.py
@@ -19,7 +19,7 @@
         _, self.host = link_keys.create(self.allowed, "host-1")
         _, self.stranger = link_keys.create(self.folder, "stranger")
         self.context = zmq.asyncio.Context()
-        self.authenticator = link_keys.Doorkeeper(
+        self.authenticator = link_keys.LinkAuthenticator(
             context=self.context, allowed_folder=str(self.allowed)
         )
         self.authenticator.start()
--- a/tests/test_loop_meter.py
+++ b/tests/test_loop_meter.py
@@ -87,7 +87,7 @@
         self.assertEqual(name, "loop_late")
         self.assertAlmostEqual(fields["late_s"], 0.7)
         self.assertEqual(fields["spent"], "Renewed_out:0.700s/1/9B")
-        self.assertAlmostEqual(self.meter.latest, 0.7)
+        self.assertAlmostEqual(self.meter.max_lateness, 0.7)
 
     async def test_work_is_exposed_as_metrics_by_kind(self):
         with self.meter.span("decode", size=120):
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -53,7 +53,7 @@
         encoded = messages.encode(
             frame([site_messages.Demand("desk", "m" * 500, "", 0.2, 0, 0.0)])
         )
-        bomb = zlib.compress(b"\0" * (messages._MOST_BYTES + 1))
+        bomb = zlib.compress(b"\0" * (messages._MAX_FRAME_BYTES + 1))
         for data in (encoded[:-3], b"\x78rubbish", b"", b"\xff", bomb):
             with self.assertRaises(msgspec.DecodeError):
                 messages.decode(data)
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -25,11 +25,11 @@
         An earlier report arrives through another host after the report with the
         drain.
         """
-        self.registry.note(
+        self.registry.add(
             make_registration(report_number=5, draining=True), 1.0
         )
         self.assertEqual(
-            self.registry.note(make_registration(report_number=4), 2.0), []
+            self.registry.add(make_registration(report_number=4), 2.0), []
         )
         self.assertTrue(self.registry.find("t1").registration.draining)
 
@@ -38,10 +38,10 @@
 
         The target deregisters; then a report arrives that was sent before.
         """
-        self.registry.note(make_registration(report_number=5), 1.0)
-        self.assertTrue(self.registry.leave("t1", 2.0))
+        self.registry.add(make_registration(report_number=5), 1.0)
+        self.assertTrue(self.registry.deregister("t1", 2.0))
         self.assertEqual(
-            self.registry.note(make_registration(report_number=6), 3.0), []
+            self.registry.add(make_registration(report_number=6), 3.0), []
         )
         self.assertIsNone(self.registry.find("t1"))
 
@@ -51,13 +51,13 @@
         The leader has no report of it yet: the deregistration arrives first,
         then a delayed report. A later start of the same name is accepted.
         """
-        self.assertFalse(self.registry.leave("t1", 1.0))
+        self.assertFalse(self.registry.deregister("t1", 1.0))
         self.assertEqual(self.registry.departed, ("t1",))
         self.assertEqual(
-            self.registry.note(make_registration(report_number=9), 2.0), []
+            self.registry.add(make_registration(report_number=9), 2.0), []
         )
         self.assertEqual(
-            self.registry.note(
+            self.registry.add(
                 make_registration(started_at_ms=5, report_number=1), 3.0
             ),
             ["t1"],
@@ -69,10 +69,10 @@
 
         The log contains the departure of an earlier start of it.
         """
-        self.registry.note(
+        self.registry.add(
             make_registration(started_at_ms=5, report_number=9), 1.0
         )
-        self.assertFalse(self.registry.leave("t1", 2.0, started_at_ms=4))
+        self.assertFalse(self.registry.deregister("t1", 2.0, started_at_ms=4))
         self.assertIsNotNone(self.registry.find("t1"))
 
     def test_restart_under_same_name_is_not_taken_for_outdated(self):
@@ -80,18 +80,18 @@
 
         It has the same id as before, and its report numbers start again.
         """
-        self.registry.note(
+        self.registry.add(
             make_registration(started_at_ms=1, report_number=90), 1.0
         )
         self.assertEqual(
-            self.registry.note(
+            self.registry.add(
                 make_registration(started_at_ms=2, report_number=1), 2.0
             ),
             ["t1"],
         )
-        self.registry.leave("t1", 3.0)
+        self.registry.deregister("t1", 3.0)
         self.assertEqual(
-            self.registry.note(
+            self.registry.add(
                 make_registration(started_at_ms=3, report_number=1), 4.0
             ),
             ["t1"],
@@ -104,13 +104,13 @@
         partition; after the partition heals, the last report of the failed one
         arrives.
         """
-        self.registry.note(make_registration("old", started_at_ms=1), 1.0)
-        changed = self.registry.note(
+        self.registry.add(make_registration("old", started_at_ms=1), 1.0)
+        changed = self.registry.add(
             make_registration("new", started_at_ms=9), 2.0
         )
         self.assertEqual(changed, ["new", "old"])
         self.assertEqual(
-            self.registry.note(
+            self.registry.add(
                 make_registration("old", started_at_ms=1, report_number=7), 3
             ),
             [],
@@ -118,7 +118,7 @@
         self.assertEqual(set(self.registry.sessions), {"new"})
 
     def test_targets_without_reports_expire(self):
-        self.registry.note(make_registration(), 1.0)
+        self.registry.add(make_registration(), 1.0)
         self.assertEqual(self.registry.expire(5.0, silence=10.0), [])
         self.assertEqual(self.registry.expire(12.0, silence=10.0), ["t1"])
 
@@ -141,6 +141,6 @@
         random.shuffle(shuffled)
         registry = registry_lib.Registry()
         for now, report in enumerate(shuffled):
-            registry.note(report, float(now))
+            registry.add(report, float(now))
         if sent:
             self.assertEqual(registry.find("t1").registration, sent[max(sent)])
--- a/tests/test_soft_state.py
+++ b/tests/test_soft_state.py
@@ -147,11 +147,14 @@
         count = dict.fromkeys((host.name for host in hosts), 0)
         for number in range(400):
             target = f"engine-{number}"
-            first, second, *_ = addresses.homes(hosts, target=target)
+            first, second, *_ = addresses.rank_home_gateways(
+                hosts, target=target
+            )
             count[first.name] += 1
             remaining = [host for host in hosts if host != first]
             self.assertEqual(
-                addresses.homes(remaining, target=target)[0], second
+                addresses.rank_home_gateways(remaining, target=target)[0],
+                second,
             )
         self.assertTrue(all(25 < n < 80 for n in count.values()), count)
 
