--- a/benchmarks/capacity/agreement.py
+++ b/benchmarks/capacity/agreement.py
@@ -23,7 +23,7 @@
 
 
 def _begin_call_proposal(number: int) -> messages.Propose:
-    command = calls.BeginCall(
+    command = calls.ClaimCall(
         team="team1",
         service="desk",
         key=f"{int(time.time())}-{number}-{time.monotonic_ns()}",
@@ -46,7 +46,7 @@
                 on_push=lambda message: None,
                 silence=1.0,
                 attempt_seconds=0.3,
-                on_move=lambda: None,
+                on_leader_changed=lambda: None,
             )
             for _ in range(link_count)
         ]
--- a/packages/endivestream/src/endivestream/connection/registry.py
+++ b/packages/endivestream/src/endivestream/connection/registry.py
@@ -15,11 +15,11 @@
 # How long the departure of a target is remembered. A report that was sent
 # before may arrive seconds later and would add the target again (symptom:
 # requests go to an address that another service has taken over).
-_REMEMBER_SECONDS = 60.0
+_DEPARTURE_KEPT_SECONDS = 60.0
 # Each process numbers its reports from the beginning. If the start time of the
 # departed process is unknown, a report up to this number is attributed to a
 # newer process; a process that was in use before it departed has sent more.
-_FIRST_REPORTS = 3
+_MAX_FIRST_REPORT_NUMBER = 3
 
 
 class Loaded(msgspec.Struct, frozen=True, array_like=True):
@@ -44,12 +44,13 @@
         service: Name of the service that it belongs to.
         address: `IP:PORT` where it accepts requests.
         domain: Failure domain of the target.
-        born: Start time of its process, in milliseconds of the wall clock.
-        number: Rises with each report since the start.
+        started_at_ms: Start time of its process, in milliseconds of the wall
+            clock.
+        report_number: Rises with each report since the start.
         draining: Whether it is about to stop.
         slots: Maximum number of concurrent requests.
-        warm_in: Seconds until it works at full speed.
-        leaves_in: Seconds until it is shut down; None if unknown.
+        warmup_seconds: Seconds until it works at full speed.
+        shutdown_in: Seconds until it is shut down; None if unknown.
         loaded: Models that are loaded.
         in_memory: Names of the models whose weights are in its host memory.
         on_disk: Names of the models whose weights are on its disk.
@@ -59,12 +60,12 @@
     service: str
     address: str
     domain: str
-    born: int = 0
-    number: int = 0
+    started_at_ms: int = msgspec.field(default=0, name="born")
+    report_number: int = msgspec.field(default=0, name="number")
     draining: bool = False
     slots: int = 1
-    warm_in: float = 0.0
-    leaves_in: float | None = None
+    warmup_seconds: float = msgspec.field(default=0.0, name="warm_in")
+    shutdown_in: float | None = msgspec.field(default=None, name="leaves_in")
     loaded: tuple[Loaded, ...] = ()
     in_memory: tuple[str, ...] = ()
     on_disk: tuple[str, ...] = ()
@@ -72,38 +73,38 @@
     @property
     def order(self) -> tuple[int, int]:
         """Sort key; greater for a registration that the target sent later."""
-        return (self.born, self.number)
+        return (self.started_at_ms, self.report_number)
 
 
 class Session(NamedTuple):
     """A target's entry in the table.
 
     Attributes:
-        said: Newest registration of the target.
-        heard: Time at which that registration was received.
+        registration: Newest registration of the target.
+        received_at: Time at which that registration was received.
     """
 
-    said: Registration
-    heard: float
+    registration: Registration
+    received_at: float
 
 
-class _Gone(NamedTuple):
+class _Departure(NamedTuple):
     """Record of a target that was removed from the table.
 
     Attributes:
-        born: Start time of the departed process; None if the table did not
-            contain it.
+        started_at_ms: Start time of the departed process; None if the table did
+            not contain it.
         since: Time of the removal.
     """
 
-    born: int | None
+    started_at_ms: int | None
     since: float
 
-    def covers(self, said: Registration) -> bool:
+    def covers(self, registration: Registration) -> bool:
         """Whether a registration is of the departed process."""
-        if self.born is None:
-            return said.number > _FIRST_REPORTS
-        return said.born <= self.born
+        if self.started_at_ms is None:
+            return registration.report_number > _MAX_FIRST_REPORT_NUMBER
+        return registration.started_at_ms <= self.started_at_ms
 
 
 class Registry:
@@ -111,7 +112,7 @@
 
     def __init__(self) -> None:
         self._sessions: dict[str, Session] = {}
-        self._gone: dict[str, _Gone] = {}
+        self._departures: dict[str, _Departure] = {}
 
     def __repr__(self) -> str:
         return f"<Registry of {len(self._sessions)} targets>"
@@ -125,11 +126,11 @@
         """Returns the entry of a target, or None."""
         return self._sessions.get(name)
 
-    def note(self, said: Registration, now: float) -> list[str]:
+    def add(self, registration: Registration, now: float) -> list[str]:
         """Adds a registration to the table, unless it is outdated.
 
         Args:
-            said: The registration.
+            registration: The registration.
             now: The time.
 
         Returns:
@@ -137,37 +138,42 @@
             whose address it has taken over. Empty if the registration is
             outdated.
         """
-        gone = self._gone.get(said.name)
-        if gone is not None and gone.covers(said):
+        gone = self._departures.get(registration.name)
+        if gone is not None and gone.covers(registration):
             return []
-        known = self._sessions.get(said.name)
-        if known is not None and known.said.order >= said.order:
+        known = self._sessions.get(registration.name)
+        if known is not None and known.registration.order >= registration.order:
             return []
         rivals = [
-            session.said
+            session.registration
             for session in self._sessions.values()
-            if session.said.address == said.address
-            and session.said.name != said.name
+            if session.registration.address == registration.address
+            and session.registration.name != registration.name
         ]
-        if any(rival.born > said.born for rival in rivals):
+        if any(
+            rival.started_at_ms > registration.started_at_ms for rival in rivals
+        ):
             # A report of a process that has ended, delayed by a network
             # partition; its address belongs to a newer process.
             return []
         for rival in rivals:
-            self._forget(rival.name, now)
-        self._sessions[said.name] = Session(said, now)
-        return [said.name, *(rival.name for rival in rivals)]
+            self._remove(rival.name, now)
+        self._sessions[registration.name] = Session(registration, now)
+        return [registration.name, *(rival.name for rival in rivals)]
 
-    def leave(self, name: str, now: float, born: int | None = None) -> bool:
+    def deregister(
+        self, name: str, now: float, started_at_ms: int | None = None
+    ) -> bool:
         """Removes a target that deregistered, and records its departure.
 
         The departure is recorded also if the target is not in the table yet. A
-        target that was started after `born` is kept.
+        target that was started after `started_at_ms` is kept.
 
         Args:
             name: Id of the target.
             now: The time.
-            born: Start time of the departed process, if known from elsewhere.
+            started_at_ms: Start time of the departed process, if known from
+                elsewhere.
 
         Returns:
             Whether the target was in the table and was removed.
@@ -175,29 +181,29 @@
         session = self._sessions.get(name)
         if (
             session is not None
-            and born is not None
-            and (session.said.born > born)
+            and started_at_ms is not None
+            and (session.registration.started_at_ms > started_at_ms)
         ):
             return False
         if session is not None:
-            self._forget(name, now)
+            self._remove(name, now)
             return True
         # Entry hosts may still list the target from the previous leader.
-        known = self._gone.get(name)
-        if born is None and known is not None:
-            born = known.born
-        self._gone[name] = _Gone(born, now)
+        known = self._departures.get(name)
+        if started_at_ms is None and known is not None:
+            started_at_ms = known.started_at_ms
+        self._departures[name] = _Departure(started_at_ms, now)
         return False
 
     @property
     def departed(self) -> tuple[str, ...]:
         """Names of the targets that recently departed or were replaced."""
-        return tuple(self._gone.keys() - self._sessions.keys())
+        return tuple(self._departures.keys() - self._sessions.keys())
 
-    def born(self, name: str) -> int | None:
+    def started_at_ms(self, name: str) -> int | None:
         """Returns the start time of a target in the table, or None."""
         session = self._sessions.get(name)
-        return session.said.born if session else None
+        return session.registration.started_at_ms if session else None
 
     def expire(self, now: float, *, silence: float) -> list[str]:
         """Removes targets without a recent report and returns their names.
@@ -209,20 +215,22 @@
         silent = [
             name
             for name, session in self._sessions.items()
-            if now - session.heard > silence
+            if now - session.received_at > silence
         ]
         for name in silent:
-            self._forget(name, now)
-        for name, gone in list(self._gone.items()):
-            if now - gone.since > _REMEMBER_SECONDS:
-                del self._gone[name]
+            self._remove(name, now)
+        for name, gone in list(self._departures.items()):
+            if now - gone.since > _DEPARTURE_KEPT_SECONDS:
+                del self._departures[name]
         return silent
 
-    def adopt(self, said: Iterable[Registration], now: float) -> None:
+    def adopt(self, registrations: Iterable[Registration], now: float) -> None:
         """Adds registrations from another host, unless they are outdated."""
-        for each in said:
-            self.note(each, now)
+        for each in registrations:
+            self.add(each, now)
 
-    def _forget(self, name: str, now: float) -> None:
+    def _remove(self, name: str, now: float) -> None:
         session = self._sessions.pop(name)
-        self._gone[name] = _Gone(session.said.born, now)
+        self._departures[name] = _Departure(
+            session.registration.started_at_ms, now
+        )
--- a/packages/endivestream/src/endivestream/messages.py
+++ b/packages/endivestream/src/endivestream/messages.py
@@ -43,13 +43,13 @@
 
     Attributes:
         host: The requesting host.
-        have: Version of the configuration in force on it.
+        config_version: Version of the configuration in force on it.
         hosts_seen: Version of its host table; 0 for none.
         running: Number of callers' requests running on it.
     """
 
     host: HostInfo
-    have: int
+    config_version: int = msgspec.field(name="have")
     hosts_seen: int = 0
     running: int
 
@@ -158,15 +158,15 @@
         team: Name of the team.
         request: Id of the attempt, unique per attempt.
         tokens: Tokens of the prompt plus the maximum number to generate.
-        patience: Seconds that the request can wait for the credit.
-        firm: Whether the caller set `patience` itself; a new leader does not
-            extend it.
+        max_wait_seconds: Seconds that the request can wait for the credit.
+        firm: Whether the caller set `max_wait_seconds` itself; a new leader
+            does not extend it.
     """
 
     team: str
     request: str
     tokens: int
-    patience: float
+    max_wait_seconds: float = msgspec.field(name="patience")
     firm: bool = False
 
 
@@ -180,7 +180,7 @@
     waited: float
 
 
-class Ending(msgspec.Struct, frozen=True, kw_only=True):
+class Completion(msgspec.Struct, frozen=True, kw_only=True):
     """Completion of an attempt; returns its unused credit and its ticket.
 
     Attributes:
@@ -205,10 +205,10 @@
     Idempotent; resent until answered.
 
     Attributes:
-        endings: The completions.
+        completions: The completions.
     """
 
-    endings: list[Ending]
+    completions: list[Completion] = msgspec.field(name="endings")
 
 
 class Noted(msgspec.Struct, frozen=True, kw_only=True, tag=True):
@@ -223,7 +223,7 @@
         team: Name of the team whose share of the queue is used.
         needs: Name of a model, or `service:NAME`.
         tokens: Expected work in tokens.
-        patience: Seconds that the request can wait for the place.
+        max_wait_seconds: Seconds that the request can wait for the place.
         avoid: Names of targets not to use.
         host: Name of the requesting host; its tickets are released when it is
             removed.
@@ -234,7 +234,7 @@
     team: str
     needs: str
     tokens: int
-    patience: float
+    max_wait_seconds: float = msgspec.field(name="patience")
     avoid: list[str]
     host: str
     blocks: tuple[int, ...] = ()
@@ -446,13 +446,13 @@
 # Frames of at least this size are compressed. Demand reports and tables of
 # targets repeat names and shrink to a third or less. Traffic between failure
 # domains costs more than the few microseconds that compression takes.
-_PLAIN_BYTES = 200
-_PACKING = 1
+_MIN_COMPRESSED_BYTES = 200
+_COMPRESSION_LEVEL = 1
 # First byte of a compressed frame (zlib). A plain frame starts with the byte
 # of a msgpack array of two elements.
-_PACKED = b"\x78"
+_COMPRESSED_PREFIX = b"\x78"
 # No message of the system is larger when decompressed.
-_MOST_BYTES = 64 * 1024 * 1024
+_MAX_FRAME_BYTES = 64 * 1024 * 1024
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Envelope)
@@ -461,9 +461,9 @@
 def encode(envelope: Envelope) -> bytes:
     """Returns an envelope's frame, compressed if that makes it shorter."""
     data = _encoder.encode(envelope)
-    if len(data) < _PLAIN_BYTES:
+    if len(data) < _MIN_COMPRESSED_BYTES:
         return data
-    packed = zlib.compress(data, _PACKING)
+    packed = zlib.compress(data, _COMPRESSION_LEVEL)
     return packed if len(packed) < len(data) else data
 
 
@@ -473,20 +473,20 @@
     Raises:
         msgspec.DecodeError: The frame is malformed.
     """
-    if data[:1] == _PACKED:
-        data = _unpacked(data)
+    if data[:1] == _COMPRESSED_PREFIX:
+        data = _decompress(data)
     return _decoder.decode(data)
 
 
-def _unpacked(data: bytes) -> bytes:
+def _decompress(data: bytes) -> bytes:
     unpacker = zlib.decompressobj()
     try:
-        plain = unpacker.decompress(data, _MOST_BYTES)
+        plain = unpacker.decompress(data, _MAX_FRAME_BYTES)
     except zlib.error as error:
         raise msgspec.DecodeError(
             f"invalid compressed frame: {error}"
         ) from error
     if not unpacker.eof:
-        # Truncated, or larger than `_MOST_BYTES`.
+        # Truncated, or larger than `_MAX_FRAME_BYTES`.
         raise msgspec.DecodeError("compressed frame is truncated or too large")
     return plain
--- a/packages/endivestream/src/endivestream/process/credit_requests.py
+++ b/packages/endivestream/src/endivestream/process/credit_requests.py
@@ -36,7 +36,7 @@
         answer: Set to the grant, or to None if the leader did not answer.
     """
 
-    wanted: site_messages.CreditAsk
+    wanted: site_messages.CreditRequest
     answer: asyncio.Future[site_messages.Grant | None]
 
 
@@ -46,7 +46,7 @@
     def __init__(
         self,
         *,
-        watch: watch_lib.Watch,
+        watch: watch_lib.LeaderSession,
         host: str,
         on_unclaimed: Callable[[site_messages.Grant], None],
     ) -> None:
@@ -65,7 +65,7 @@
         self._in_flight: set[asyncio.Task[None]] = set()
 
     async def request(
-        self, wanted: site_messages.CreditAsk
+        self, wanted: site_messages.CreditRequest
     ) -> site_messages.Grant | None:
         """Requests credit; returns None if the leader did not answer."""
         answer = asyncio.get_running_loop().create_future()
@@ -89,9 +89,9 @@
     async def _exchange(self, batch: list[_PendingRequest]) -> None:
         message = site_messages.AskCredit(
             host=self._host,
-            asked=tuple(request.wanted for request in batch),
+            credit_requests=tuple(request.wanted for request in batch),
         )
-        answer = await self._watch.ask(message, seconds=_TIMEOUT_SECONDS)
+        answer = await self._watch.request(message, seconds=_TIMEOUT_SECONDS)
         grants: tuple[site_messages.Grant | None, ...] = ()
         if isinstance(answer, site_messages.GiveCredit):
             grants = answer.grants
--- a/packages/endivestream/src/endivestream/process/dispatcher.py
+++ b/packages/endivestream/src/endivestream/process/dispatcher.py
@@ -147,7 +147,7 @@
     def drain(self, name: str, draining: bool) -> bool:
         """Starts or stops draining a target; returns False if unknown."""
         now = time.monotonic()
-        is_known = self.targets.hold_back(name, draining)
+        is_known = self.targets.set_operator_drain(name, draining)
         self._update_targets([name], now)
         self._grant_ready(now)
         return is_known
@@ -169,7 +169,7 @@
             team.weight if team else 1,
             message.needs,
             message.tokens,
-            now + message.patience,
+            now + message.max_wait_seconds,
             frozenset(message.avoid),
             message.blocks,
         )
@@ -195,7 +195,7 @@
         home gateways report them within a tenth of a second.
         """
         deadline = min(
-            self._tables_filled_at, time.monotonic() + message.patience
+            self._tables_filled_at, time.monotonic() + message.max_wait_seconds
         )
         avoid = frozenset(message.avoid)
         while not self._scheduler.serves(message.needs, avoid):
@@ -216,7 +216,7 @@
             future = asyncio.get_running_loop().create_future()
             self._waiting_requests[message.request] = future
         try:
-            async with asyncio.timeout(message.patience):
+            async with asyncio.timeout(message.max_wait_seconds):
                 return await asyncio.shield(future)
         except TimeoutError:
             return None
@@ -251,7 +251,7 @@
             reason=grant.reason,
         )
 
-    def complete_request(self, completion: messages.Ending) -> None:
+    def complete_request(self, completion: messages.Completion) -> None:
         """Releases the slot of a completed request. Idempotent."""
         now = time.monotonic()
         self._completed_requests[completion.request] = None
@@ -300,6 +300,6 @@
     return messages.Refused(
         reason="overloaded",
         detail=f"no free slot for {message.needs!r} within "
-        f"{message.patience:.1f} s",
+        f"{message.max_wait_seconds:.1f} s",
         retry_after=1.0,
     )
--- a/packages/endivestream/src/endivestream/process/gateway.py
+++ b/packages/endivestream/src/endivestream/process/gateway.py
@@ -95,7 +95,7 @@
         self._sequence = itertools.count(1)
         self._renewal_due = asyncio.Event()
         self._leader_listeners: list[Callable[[], None]] = []
-        self._completions: list[messages.Ending] = []
+        self._completions: list[messages.Completion] = []
         self._commands: list[state_lib.Command] = []
         self._completion_queued = asyncio.Event()
         self._link = leader_link.LeaderLink(
@@ -104,7 +104,7 @@
             on_push=self._on_push,
             silence=settings.peers.silence_seconds,
             attempt_seconds=settings.timing.election_seconds,
-            on_move=self._on_leader_moved,
+            on_leader_changed=self._on_leader_moved,
             keys=keys,
         )
         self._tasks: list[asyncio.Task[None]] = []
@@ -240,7 +240,7 @@
         answer = await self.request_leader(
             messages.Watch(
                 host=self.host,
-                have=self._view.version,
+                config_version=self._view.version,
                 hosts_seen=self._hosts_version,
                 running=self.running,
             ),
@@ -326,13 +326,17 @@
         self, message: messages.Charge
     ) -> messages.Charged | messages.Refused:
         """Requests a team's credit; refused if no leader answers."""
-        return await self._request_with_patience(message, message.patience)
+        return await self._request_with_patience(
+            message, message.max_wait_seconds
+        )
 
     async def request_ticket(
         self, message: messages.AskTicket
     ) -> messages.Ticket | messages.Refused:
         """Requests a place on a target; refused if no leader answers."""
-        return await self._request_with_patience(message, message.patience)
+        return await self._request_with_patience(
+            message, message.max_wait_seconds
+        )
 
     async def _request_with_patience(
         self, message: messages.Message, patience: float
@@ -371,7 +375,7 @@
         self._commands.append(command)
         self._completion_queued.set()
 
-    def complete_request(self, ending: messages.Ending) -> None:
+    def complete_request(self, ending: messages.Completion) -> None:
         """Queues a completion, which is sent until the leader receives it.
 
         The leader then releases the request's unused credit and its place.
@@ -402,7 +406,7 @@
         batch = list(self._completions)
         if batch:
             await self.request_leader(
-                messages.Endings(endings=batch),
+                messages.Endings(completions=batch),
                 seconds=self._settings.peers.request_seconds,
             )
             del self._completions[: len(batch)]
@@ -412,7 +416,7 @@
     key: configuration_lib.KeyRecord,
 ) -> findings.Failure:
     return findings.Failure(
-        outcome=findings.Outcome.FAILED,
+        outcome=findings.RunState.FAILED,
         reason="key_withdrawn",
         detail=f"the key {key.label!r} was withdrawn",
         status=401,
--- a/packages/endivestream/src/endivestream/process/handlers.py
+++ b/packages/endivestream/src/endivestream/process/handlers.py
@@ -106,9 +106,9 @@
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
         """Responds to an error that no route handled, in the usual format."""
-        outcome = findings.Outcome.UNKNOWN
+        outcome = findings.RunState.UNKNOWN
         if status_code in (404, 405):
-            outcome = findings.Outcome.NOT_RUN
+            outcome = findings.RunState.NOT_RUN
         failure = findings.Failure(
             outcome=outcome,
             reason="not_found" if status_code == 404 else "internal_error",
@@ -258,7 +258,7 @@
                 cost = used()
         finally:
             self.gateway.complete_request(
-                messages.Ending(request=request, team=team, used=cost)
+                messages.Completion(request=request, team=team, used=cost)
             )
 
     def attempts(self, work: attempts_lib.AttemptWork) -> attempts_lib.Attempts:
@@ -287,7 +287,7 @@
                 team=team,
                 request=request,
                 tokens=tokens,
-                patience=(
+                max_wait_seconds=(
                     self.patience() if has_own_patience else default_patience
                 ),
                 firm=has_own_patience,
@@ -328,7 +328,7 @@
 
 def _caller_disconnected() -> findings.Failure:
     return findings.Failure(
-        outcome=findings.Outcome.FAILED,
+        outcome=findings.RunState.FAILED,
         reason="caller_left",
         detail="the caller closed the connection",
         status=499,
--- a/packages/endivestream/src/endivestream/process/leader.py
+++ b/packages/endivestream/src/endivestream/process/leader.py
@@ -119,22 +119,28 @@
             committed.keys() & teams.keys() & self._credit_received_at.keys()
         ):
             seconds = now - self._credit_received_at[name]
-            refilled = committed[name].rest + int(
+            refilled = committed[name].level_without_reserve + int(
                 teams[name].rate * seconds * 1e6
             )
-            levels[name] = min(refilled, committed[name].most)
+            levels[name] = min(refilled, committed[name].max_level)
         return levels
 
     async def _reserve_credit(
-        self, levels: dict[str, credit_lib.Level]
+        self, levels: dict[str, credit_lib.CreditLevel]
     ) -> bool:
         try:
             result = await self._replicator.propose(
-                credit_lib.SetAside(term=self._replicator.term, levels=levels)
+                credit_lib.ReserveCredit(
+                    term=self._replicator.term, levels=levels
+                )
             )
-        except (replicate.NotLeaderError, replicate.LostError, OSError):
+        except (
+            replicate.NotLeaderError,
+            replicate.LeadershipLostError,
+            OSError,
+        ):
             return False
-        return isinstance(result, credit_lib.DoneSettingAside) and (
+        return isinstance(result, credit_lib.CreditReserved) and (
             result.accepted
         )
 
@@ -152,7 +158,7 @@
                     "host_expired", peer=host.name, slots_released=released
                 )
             with contextlib.suppress(
-                replicate.NotLeaderError, replicate.LostError, OSError
+                replicate.NotLeaderError, replicate.LeadershipLostError, OSError
             ):
                 await self._abandon_calls_of_expired_hosts(now)
                 if now > expire_at and len(self._replicator.state.calls):
@@ -167,12 +173,14 @@
         The host may only be unreachable and its call may still run: "unknown"
         is correct in both cases, and a later answer still replaces it.
         """
-        running = list(self._replicator.state.calls.running_hosts)
+        running = list(self._replicator.state.calls.running_processes)
         for name, incarnation in running:
             if self.host_leases.is_expired(name, now):
                 logs.warn("calls_abandoned", peer=name)
                 await self._replicator.propose(
-                    calls_lib.AbandonCalls(host=name, before=incarnation + 1)
+                    calls_lib.AbandonCalls(
+                        host=name, first_live_incarnation=incarnation + 1
+                    )
                 )
 
     def applied(
@@ -217,7 +225,7 @@
                 return await self._renew_lease(peer, message)
             case messages.Charge():
                 return await self.limiter.charge(message)
-            case messages.Endings(endings=completions):
+            case messages.Endings(completions=completions):
                 for completion in completions:
                     self.limiter.complete_charge(completion)
                     self.dispatcher.complete_request(completion)
@@ -254,7 +262,9 @@
     ) -> messages.Message | None:
         now = time.monotonic()
         previous = self.host_leases.find(message.host.name)
-        if not self.host_leases.renew(message.host, peer, message.have, now):
+        if not self.host_leases.renew(
+            message.host, peer, message.config_version, now
+        ):
             logs.warn(
                 "duplicate_host_name",
                 peer=message.host.name,
@@ -274,13 +284,13 @@
         return self._lease_answer(message)
 
     def _lease_answer(self, message: messages.Watch) -> messages.Message:
-        if not self._replicator.leads:
+        if not self._replicator.is_leader:
             # Another leader may have committed a newer configuration.
             return messages.NotLeader(address="")
         configuration = self._replicator.state.configuration
         update = None
-        if message.have != configuration.version:
-            update = configuration.update_since(message.have)
+        if message.config_version != configuration.version:
+            update = configuration.update_since(message.config_version)
         hosts_version = self.host_leases.hosts_version
         # An incomplete table is sent only to a host that has none yet.
         has_hosts = message.hosts_seen == hosts_version or (
@@ -298,9 +308,13 @@
     async def _abandon_older_calls(self, host: messages.HostInfo) -> None:
         has_older_calls = any(
             name == host.name and incarnation < host.incarnation
-            for name, incarnation in self._replicator.state.calls.running_hosts
+            for name, incarnation in (
+                self._replicator.state.calls.running_processes
+            )
         )
         if has_older_calls:
             await self._replicator.propose(
-                calls_lib.AbandonCalls(host=host.name, before=host.incarnation)
+                calls_lib.AbandonCalls(
+                    host=host.name, first_live_incarnation=host.incarnation
+                )
             )
--- a/packages/endivestream/src/endivestream/process/limiter.py
+++ b/packages/endivestream/src/endivestream/process/limiter.py
@@ -33,7 +33,7 @@
         self,
         *,
         reserve_credit: Callable[
-            [dict[str, credit_lib.Level]], Awaitable[bool]
+            [dict[str, credit_lib.CreditLevel]], Awaitable[bool]
         ],
     ) -> None:
         self._reserve_credit = reserve_credit
@@ -104,7 +104,7 @@
                 retry_after=-1,
             )
         started_at = _now_us()
-        patience = message.patience
+        patience = message.max_wait_seconds
         if not message.firm:
             # The credit reserved by the previous leader is lost. Teams within
             # their rate wait for its refill and are not refused because of it.
@@ -163,7 +163,7 @@
             self._waiting_charges.pop(message.request, None)
         return messages.Charged(waited=(_now_us() - started_at) / 1e6)
 
-    def complete_charge(self, completion: messages.Ending) -> None:
+    def complete_charge(self, completion: messages.Completion) -> None:
         """Returns unused credit and cancels a charge that still waits."""
         bucket = self._buckets.get(completion.team)
         if bucket is None:
@@ -214,7 +214,7 @@
                 continue
             accepted = await self._reserve_credit(
                 {
-                    name: credit_lib.Level(
+                    name: credit_lib.CreditLevel(
                         reserved.level_without_reserve, reserved.max_level
                     )
                     for name, reserved in proposed.items()
--- a/packages/endivestream/src/endivestream/process/placer.py
+++ b/packages/endivestream/src/endivestream/process/placer.py
@@ -68,7 +68,10 @@
             await asyncio.sleep(self._plan_seconds)
             try:
                 await self._run_round()
-            except (replicate.NotLeaderError, replicate.LostError) as error:
+            except (
+                replicate.NotLeaderError,
+                replicate.LeadershipLostError,
+            ) as error:
                 # The next leader plans from the ledger. It sends the orders of
                 # all intents that were committed.
                 logs.warn("plan_stopped", why=error)
@@ -115,7 +118,7 @@
         )
         key = (info.name, info.incarnation)
         if (
-            isinstance(result, ledger_lib.Refused)
+            isinstance(result, ledger_lib.LedgerRejected)
             and key not in self._refused_targets
         ):
             self._refused_targets.add(key)
@@ -139,7 +142,7 @@
 
     async def _commit_intent(self, load: placement.Load) -> None:
         result = await self._replicator.propose(
-            ledger_lib.IntendLoad(
+            ledger_lib.ReserveLoad(
                 target=load.target,
                 incarnation=load.incarnation,
                 model=load.model,
@@ -147,7 +150,7 @@
             )
         )
         match result:
-            case ledger_lib.Reserved(fence=fence):
+            case ledger_lib.MemoryReserved(fencing_token=fence):
                 logs.event(
                     "place",
                     order="load",
@@ -157,7 +160,7 @@
                     fence=fence,
                     reason=load.reason,
                 )
-            case ledger_lib.Refused(reason=reason):
+            case ledger_lib.LedgerRejected(reason=reason):
                 logs.warn(
                     "place_refused",
                     model=load.model,
@@ -197,7 +200,7 @@
                     "incarnation": info.incarnation,
                     "model": model,
                     "memory": entry.memory,
-                    "fence": [self._replicator.term, entry.fence],
+                    "fence": [self._replicator.term, entry.fencing_token],
                 }
                 task = asyncio.create_task(self._send_order(info.url, order))
                 self._send_tasks.add(task)
--- a/packages/endivestream/src/endivestream/process/planner.py
+++ b/packages/endivestream/src/endivestream/process/planner.py
@@ -172,7 +172,10 @@
     def apply_report(self, registration: registry_lib.Registration) -> None:
         """Applies a report of a target."""
         worker = self._workers.get(registration.name)
-        if worker is None or worker.registration.born != registration.born:
+        if (
+            worker is None
+            or worker.registration.started_at_ms != registration.started_at_ms
+        ):
             if worker is not None and worker.task is not None:
                 worker.task.cancel()
             worker = worker_lib.EngineWorker(
@@ -265,13 +268,15 @@
         worker = self._workers.get(target)
         return tuple(sorted(worker.closing)) if worker else ()
 
-    def pending_loads(self, target: str) -> tuple[site_messages.Coming, ...]:
+    def pending_loads(
+        self, target: str
+    ) -> tuple[site_messages.LoadingModel, ...]:
         """Returns the models being loaded on a target, with the time left."""
         worker = self._workers.get(target)
         if worker is None or worker.step is None:
             return ()
         remaining = max(0.0, worker.expected_ready_at - clock.now())
-        return (site_messages.Coming(worker.step.model, remaining),)
+        return (site_messages.LoadingModel(worker.step.model, remaining),)
 
     def usable_adapters(self, target: str) -> tuple[str, ...]:
         """Returns the adapters usable on a target, as `MODEL/ADAPTER`."""
@@ -309,7 +314,7 @@
             with self._meter.span("plan"):
                 self._plan()
         except Exception as error:
-            logs.failed("plan_failed", error)
+            logs.log_error("plan_failed", error)
 
     def _plan(self) -> None:
         now = clock.now()
--- a/packages/endivestream/src/endivestream/process/site_control.py
+++ b/packages/endivestream/src/endivestream/process/site_control.py
@@ -73,12 +73,12 @@
             meter=self._meter,
         )
         self._metrics = site_metrics.ControlMetrics(
-            leads=lambda: self._control.replicator.leads,
+            leads=lambda: self._control.replicator.is_leader,
             term=lambda: self._control.replicator.term,
             index=lambda: self._control.replicator.index,
             version=lambda: self._control.replicator.state.document.version,
             departed=lambda: len(
-                self._control.replicator.state.departures.born
+                self._control.replicator.state.departures.start_times_ms
             ),
             unplaced=lambda: self._planner_lease_holder.unplaced_models,
             meter=self._meter,
@@ -174,7 +174,7 @@
     async def register(self, registration: registry_lib.Registration) -> bool:
         """Forwards a target's report; returns whether the leader has it."""
         answer = await self._control.call(
-            site_messages.Register(said=registration),
+            site_messages.Register(registration=registration),
             seconds=_ANSWER_TIMEOUT_SECONDS,
         )
         return isinstance(answer, site_messages.Registered)
--- a/packages/endivestream/src/endivestream/process/views.py
+++ b/packages/endivestream/src/endivestream/process/views.py
@@ -120,12 +120,16 @@
                 "synced": (
                     replica.commit
                     if is_leader
-                    else replica.matched(member.identity)
+                    else replica.match_index(member.identity)
                 ),
                 "behind": 0
                 if is_leader
-                else max(0, replica.commit - replica.matched(member.identity)),
-                "silent_s": round(replica.silent_for(member.identity), 2),
+                else max(
+                    0, replica.commit - replica.match_index(member.identity)
+                ),
+                "silent_s": round(
+                    replica.seconds_since_reply(member.identity), 2
+                ),
             }
         )
     return rows
@@ -147,9 +151,10 @@
                 "domain": session.info.domain,
                 "url": session.info.url,
                 "live": name in live,
-                "draining": session.draining or name in targets.held_back,
-                "silent_s": round(now - session.heard, 2),
-                "held_mib": entry.held if entry else 0,
+                "draining": session.draining
+                or name in targets.drained_by_operator,
+                "silent_s": round(now - session.received_at, 2),
+                "held_mib": entry.reserved_mib if entry else 0,
                 "memory_mib": session.info.memory,
                 "loaded": sorted(session.loaded),
             }
--- a/packages/endivestream/src/endivestream/request/forward.py
+++ b/packages/endivestream/src/endivestream/request/forward.py
@@ -303,7 +303,7 @@
         picked: target_selection.Selected,
     ) -> bool:
         """Waits for a rate-limited target; returns whether to send now."""
-        registration = picked.target.said
+        registration = picked.target.registration
         view = self._parts.view
         if not view.is_rate_limited(registration):
             return True
@@ -425,7 +425,7 @@
                 retry_after=None if is_past_deadline else retry_after,
             )
         return findings.Failure(
-            outcome=findings.Outcome.UNKNOWN,
+            outcome=findings.RunState.UNKNOWN,
             reason=reason,
             detail=f"the request may have run: {reason}",
             status=504 if is_past_deadline else 502,
@@ -504,7 +504,7 @@
             or work.service.engine is None
         ):
             return False
-        registration = picked.target.said
+        registration = picked.target.registration
         rank = sending.priority(work)
         wait = await self._parts.prefill_delay(
             registration.name, registration.domain, work.prompt, rank
--- a/tests/leader_site.py
+++ b/tests/leader_site.py
@@ -60,7 +60,7 @@
 class Log:
     """Replicated log with a single replica."""
 
-    leads = True
+    is_leader = True
     term = 1
     identity = "c0"
 
@@ -69,10 +69,10 @@
         member = members_lib.Member("c0", "c0", "tcp://c0")
         self.replica = types.SimpleNamespace(
             members=members_lib.Members(voters=(member,)),
-            first_own=1,
+            first_index_of_term=1,
             commit=1,
-            silent_for=lambda identity: 0.0,
-            matched=lambda identity: 1,
+            seconds_since_reply=lambda identity: 0.0,
+            match_index=lambda identity: 1,
         )
         self.on_applied = lambda command, result: None
 
@@ -212,8 +212,8 @@
             self.version = update.document.version
             self.version_at[self.version] = clock.now()
         self._apply_table(update)
-        has_departures = update.gone or any(
-            t.said.draining for t in update.targets
+        has_departures = update.removed_targets or any(
+            t.registration.draining for t in update.targets
         )
         if update.document is None and not has_departures:
             return
@@ -228,7 +228,7 @@
     def _apply_table(self, update):
         if update.position <= self.position:
             return
-        after = update.after
+        after = update.base_position
         if after is None:
             self.targets = {}
         elif (
@@ -237,12 +237,12 @@
         ):
             return
         for target in update.targets:
-            self.targets[target.said.name] = target
-        for name in update.gone:
+            self.targets[target.registration.name] = target
+        for name in update.removed_targets:
             self.targets.pop(name, None)
         self.position = update.position
 
-    async def ask(self, message, *, seconds=0.4):
+    async def request(self, message, *, seconds=0.4):
         """Returns the leader's answer; None after a timeout."""
         self._site.requests_sent += 1
         self._number += 1
@@ -260,7 +260,7 @@
         if self.is_frozen:
             return None
         sent_at = clock.now()
-        answer = await self.ask(
+        answer = await self.request(
             site_messages.Renew(
                 host=self.entry,
                 version=self.version,
@@ -270,8 +270,8 @@
         )
         if isinstance(answer, site_messages.Renewed):
             self.lease_until = sent_at + answer.seconds
-            if answer.news:
-                self._apply_update(answer.news)
+            if answer.table_update:
+                self._apply_update(answer.table_update)
         return answer
 
 
@@ -362,7 +362,7 @@
     async def renew(self, host):
         """Renews a host; returns the interval set by the leader, if any."""
         answer = await host.renew()
-        return getattr(answer, "every", None)
+        return getattr(answer, "interval_seconds", None)
 
     def follow_relays(self):
         """Makes each host follow a relay of its failure domain."""
@@ -389,27 +389,29 @@
 
     async def request_send(self, host, target, rate):
         """Requests a send to a target with a rate limit."""
-        answer = await host.ask(
+        answer = await host.request(
             site_messages.AskSend(
                 limit=site_messages.RateLimit(target, 1, rate, 0.0),
-                patience=1.0,
+                max_wait_seconds=1.0,
             ),
             seconds=0.15,
         )
-        self.granted_sends += getattr(answer, "wait", None) is not None
+        self.granted_sends += getattr(answer, "send_in", None) is not None
 
     async def drain_target(self, target):
         """Drains a target; returns the time at which that was confirmed."""
         self._draining_targets.add(target)
         registration = self._registration(target)
         await self.leader_role.handle(
-            b"c1", site_messages.Register(said=registration)
+            b"c1", site_messages.Register(registration=registration)
         )
         return clock.now()
 
     async def report(self, target, *, loaded=()):
         registration = self._registration(target, loaded=loaded)
-        self.wire.deliver(b"c1", site_messages.Register(said=registration), 0)
+        self.wire.deliver(
+            b"c1", site_messages.Register(registration=registration), 0
+        )
 
     def _registration(self, target, *, loaded=()):
         self._reports += 1
@@ -418,8 +420,8 @@
             service="llm",
             address=f"{target}:1",
             domain="a",
-            born=1,
-            number=self._reports,
+            started_at_ms=1,
+            report_number=self._reports,
             draining=target in self._draining_targets,
             loaded=tuple(registry_lib.Loaded(model) for model in loaded),
         )
--- a/tests/test_entry_credit.py
+++ b/tests/test_entry_credit.py
@@ -20,16 +20,16 @@
         self.batch_sizes = []
         self.answer_seconds = 0.0
 
-    async def ask(self, message, *, seconds):
+    async def request(self, message, *, seconds):
         self.requests += 1
         if self.requests <= self.lost:
             return None
-        self.batch_sizes.append(len(message.asked))
+        self.batch_sizes.append(len(message.credit_requests))
         await asyncio.sleep(self.answer_seconds)
         return site_messages.GiveCredit(
             grants=tuple(
                 site_messages.Grant("band", each.need.wanted, 0.0, 0.0)
-                for each in message.asked
+                for each in message.credit_requests
             )
         )
 
--- a/tests/test_entry_site.py
+++ b/tests/test_entry_site.py
@@ -132,8 +132,8 @@
             service="desk",
             address=self.target.address,
             domain="a",
-            born=1,
-            number=number,
+            started_at_ms=1,
+            report_number=number,
             draining=draining,
         )
         control = list(self.controls.values())[-1]
@@ -301,7 +301,7 @@
         leader = next(
             peer
             for peer, control in self.controls.items()
-            if control._control.replicator.leads
+            if control._control.replicator.is_leader
         )
         await self.controls.pop(leader).close()
         for entry in self.entries:
@@ -327,7 +327,9 @@
         for peer in self.peers[:2]:
             await self.controls.pop(peer).close()
         remaining = self.controls[self.peers[2]]
-        await self._wait_until(lambda: not remaining._control.replicator.leads)
+        await self._wait_until(
+            lambda: not remaining._control.replicator.is_leader
+        )
         self.assertFalse(await remaining.apply(test_document.document(2)))
         self.assertIsNone(await remaining.read())
 
@@ -342,7 +344,7 @@
         peer = next(
             p
             for p, control in self.controls.items()
-            if not control._control.replicator.leads
+            if not control._control.replicator.is_leader
         )
         await self.controls.pop(peer).close()
         number = self.peers.index(peer)
@@ -413,7 +415,9 @@
         entry = self.entries[0]
         await self._wait_until(lambda: "t1" in entry._view.targets)
         await self._register(draining=True, number=2)
-        await self._wait_until(lambda: entry._view.targets["t1"].said.draining)
+        await self._wait_until(
+            lambda: entry._view.targets["t1"].registration.draining
+        )
         reply = await self._send_request(entry)
         self.assertEqual(reply.status, 503)
         self.assertEqual(self.target.requests, [])
@@ -423,7 +427,7 @@
         peer = next(
             peer
             for peer, control in self.controls.items()
-            if control._control.replicator.leads
+            if control._control.replicator.is_leader
         )
         await self.controls.pop(peer).close()
         await self._wait_until(
--- a/tests/test_forward.py
+++ b/tests/test_forward.py
@@ -175,13 +175,15 @@
             service="desk",
             address=address,
             domain="a",
-            born=1,
-            number=1,
+            started_at_ms=1,
+            report_number=1,
             slots=fields.pop("slots", 8),
             loaded=fields.pop("loaded", ()),
         )
         self.view.set_targets(
-            [site_messages.Target(said=registration, **fields)], [], clock.now()
+            [site_messages.Target(registration=registration, **fields)],
+            [],
+            clock.now(),
         )
 
     def _route(self, route, teams=(), engine=None):
@@ -951,11 +953,13 @@
             service="desk",
             address=target.address,
             domain="a",
-            born=1,
-            number=2,
+            started_at_ms=1,
+            report_number=2,
             loaded=loaded,
         )
-        self.view.set_targets([site_messages.Target(said=registration)], [])
+        self.view.set_targets(
+            [site_messages.Target(registration=registration)], []
+        )
         self.assertEqual((await self.caller.reply()).status, 200)
 
     async def test_a_waiting_request_is_refused_when_its_host_stops(self):
@@ -1002,8 +1006,8 @@
         The model will be loaded in 50 s; the caller's deadline is 9 s.
         """
         self._serve_model()
-        coming = (site_messages.Coming("m", 50.0),)
-        await self._start_target(standin.says(standin.answer()), coming=coming)
+        coming = (site_messages.LoadingModel("m", 50.0),)
+        await self._start_target(standin.says(standin.answer()), loading=coming)
         reply = await self.caller.ask(X_Model="m", X_Deadline_Ms=9000)
         self.assertEqual(reply.status, 503)
         self.assertAlmostEqual(
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -17,8 +17,8 @@
     adapter=WORDS,
     rate=st.floats(0.0, 1e3),
     waiting=st.integers(0, 99),
-    urgency=st.floats(0.0, 9.0),
-    unserved=st.floats(0.0, 99.0),
+    shortest_objective=st.floats(0.0, 9.0),
+    unserved_seconds=st.floats(0.0, 99.0),
 )
 
 
@@ -53,7 +53,7 @@
         encoded = messages.encode(
             frame([site_messages.Demand("desk", "m" * 500, "", 0.2, 0, 0.0)])
         )
-        bomb = zlib.compress(b"\0" * (messages._MOST_BYTES + 1))
+        bomb = zlib.compress(b"\0" * (messages._MAX_FRAME_BYTES + 1))
         for data in (encoded[:-3], b"\x78rubbish", b"", b"\xff", bomb):
             with self.assertRaises(msgspec.DecodeError):
                 messages.decode(data)
--- a/tests/test_planner_lease.py
+++ b/tests/test_planner_lease.py
@@ -34,7 +34,9 @@
     def __init__(self):
         self.state = state_lib.State()
         self.term = 1
-        self.replica = types.SimpleNamespace(members=MEMBERS, first_own=1)
+        self.replica = types.SimpleNamespace(
+            members=MEMBERS, first_index_of_term=1
+        )
 
     async def propose(self, command):
         return self.state.apply(1, command)
@@ -146,7 +148,7 @@
         Hosts are restarted with a new version one by one. The previous leader
         has sent orders itself until now, and the log contains no holder yet.
         """
-        self.log.replica.first_own = 700
+        self.log.replica.first_index_of_term = 700
         answer = await self._request_lease("m2")
         self.assertEqual("m2", answer.holder)
         self.assertGreaterEqual(answer.wait, PAUSE_SECONDS)
@@ -205,12 +207,12 @@
         An item is appended between two requests of the holder.
         """
         answer = await self._request_lease("m1")
-        self.assertTrue(answer.fresh)
+        self.assertTrue(answer.is_complete_state)
         self.manager.forward_missing_models(
             site_messages.Missing(host="e1", demand=())
         )
         answer = await self._request_lease("m1", answer.position)
-        self.assertFalse(answer.fresh)
+        self.assertFalse(answer.is_complete_state)
         self.assertEqual(1, len(answer.items))
         answer = await self._request_lease("m1", answer.position)
         self.assertEqual((), answer.items)
@@ -230,13 +232,15 @@
                 site_messages.Missing(host="e1", demand=())
             )
         answer = await self._request_lease("m1", answer.position)
-        self.assertTrue(answer.fresh)
+        self.assertTrue(answer.is_complete_state)
         reports = [
             item
             for item in answer.items
-            if isinstance(item, site_messages.FedReport)
+            if isinstance(item, site_messages.FeedTargetReport)
         ]
-        self.assertEqual([registration], [item.said for item in reports])
+        self.assertEqual(
+            [registration], [item.registration for item in reports]
+        )
 
     async def test_an_outdated_placement_update_is_ignored(self):
         """Guards against requests for a model that is being unloaded.
@@ -249,13 +253,15 @@
         )
         self.sessions["t1"] = registry_lib.Session(registration, 0.0)
         for number, closing in ((2, ("m",)), (1, ())):
-            update = site_messages.Notice(
-                target="t1", number=number, closing=closing
+            update = site_messages.PlacementUpdate(
+                target="t1", number=number, unloading=closing
             )
             self.manager.store_placement_updates(
-                site_messages.TellNotices(fence=fence, notices=(update,))
+                site_messages.TellNotices(
+                    fence=fence, placement_updates=(update,)
+                )
             )
-        self.assertEqual(("m",), self.manager.placement_update("t1").closing)
+        self.assertEqual(("m",), self.manager.placement_update("t1").unloading)
         self.assertEqual(["t1"], self.changed)
 
     async def test_a_lower_update_number_of_a_new_holder_is_accepted(self):
@@ -292,19 +298,25 @@
         self.assertEqual((), self.manager.placement_update("t1").adapters)
 
     def _send_update(self, fence, number, **fields):
-        update = site_messages.Notice(target="t1", number=number, **fields)
+        update = site_messages.PlacementUpdate(
+            target="t1", number=number, **fields
+        )
         self.manager.store_placement_updates(
-            site_messages.TellNotices(fence=fence, notices=(update,))
+            site_messages.TellNotices(fence=fence, placement_updates=(update,))
         )
 
     async def test_a_placement_update_of_a_previous_holder_is_ignored(self):
         """Guards against decisions of a host that has lost the lease."""
         fence = (await self._request_lease("m1")).fence
-        update = site_messages.Notice(target="t1", number=9, closing=("m",))
+        update = site_messages.PlacementUpdate(
+            target="t1", number=9, unloading=("m",)
+        )
         self.manager.store_placement_updates(
-            site_messages.TellNotices(fence=fence - 1, notices=(update,))
+            site_messages.TellNotices(
+                fence=fence - 1, placement_updates=(update,)
+            )
         )
-        self.assertEqual((), self.manager.placement_update("t1").closing)
+        self.assertEqual((), self.manager.placement_update("t1").unloading)
 
 
 class LeaseRecordTest(unittest.TestCase):
@@ -537,18 +549,18 @@
         registration = registry_lib.Registration(
             name="t1", service="s", address="a", domain="d"
         )
-        report = site_messages.FedReport(said=registration)
+        report = site_messages.FeedTargetReport(registration=registration)
         for term in (1, 2):
             await self._put_answer(
                 position=site_messages.Position(term, 1),
-                fresh=True,
+                is_complete_state=True,
                 items=(report,),
             )
         await self._wait_until(
             lambda: (
                 sum(
                     isinstance(m, site_messages.TellNotices)
-                    and [n.target for n in m.notices] == ["t1"]
+                    and [n.target for n in m.placement_updates] == ["t1"]
                     for m in self.sent
                 )
                 == 2
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -5,10 +5,13 @@
 from hypothesis import strategies as st
 
 
-def said(name="t1", born=1, number=1, **fields):
+def make_registration(name="t1", started_at_ms=1, report_number=1, **fields):
     given = {"service": "s", "address": "10.0.0.1:80", "domain": "a"}
     return registry_lib.Registration(
-        name=name, born=born, number=number, **(given | fields)
+        name=name,
+        started_at_ms=started_at_ms,
+        report_number=report_number,
+        **(given | fields),
     )
 
 
@@ -22,18 +25,24 @@
         An earlier report arrives through another host after the report with the
         drain.
         """
-        self.registry.note(said(number=5, draining=True), 1.0)
-        self.assertEqual(self.registry.note(said(number=4), 2.0), [])
-        self.assertTrue(self.registry.find("t1").said.draining)
+        self.registry.add(
+            make_registration(report_number=5, draining=True), 1.0
+        )
+        self.assertEqual(
+            self.registry.add(make_registration(report_number=4), 2.0), []
+        )
+        self.assertTrue(self.registry.find("t1").registration.draining)
 
     def test_report_sent_before_deregistration_does_not_restore_target(self):
         """Requests must not go to an address that another service may use.
 
         The target deregisters; then a report arrives that was sent before.
         """
-        self.registry.note(said(number=5), 1.0)
-        self.assertTrue(self.registry.leave("t1", 2.0))
-        self.assertEqual(self.registry.note(said(number=6), 3.0), [])
+        self.registry.add(make_registration(report_number=5), 1.0)
+        self.assertTrue(self.registry.deregister("t1", 2.0))
+        self.assertEqual(
+            self.registry.add(make_registration(report_number=6), 3.0), []
+        )
         self.assertIsNone(self.registry.find("t1"))
 
     def test_deregistration_before_first_report_is_remembered(self):
@@ -42,11 +51,16 @@
         The leader has no report of it yet: the deregistration arrives first,
         then a delayed report. A later start of the same name is accepted.
         """
-        self.assertFalse(self.registry.leave("t1", 1.0))
+        self.assertFalse(self.registry.deregister("t1", 1.0))
         self.assertEqual(self.registry.departed, ("t1",))
-        self.assertEqual(self.registry.note(said(number=9), 2.0), [])
         self.assertEqual(
-            self.registry.note(said(born=5, number=1), 3.0), ["t1"]
+            self.registry.add(make_registration(report_number=9), 2.0), []
+        )
+        self.assertEqual(
+            self.registry.add(
+                make_registration(started_at_ms=5, report_number=1), 3.0
+            ),
+            ["t1"],
         )
         self.assertEqual(self.registry.departed, ())
 
@@ -55,8 +69,10 @@
 
         The log contains the departure of an earlier start of it.
         """
-        self.registry.note(said(born=5, number=9), 1.0)
-        self.assertFalse(self.registry.leave("t1", 2.0, born=4))
+        self.registry.add(
+            make_registration(started_at_ms=5, report_number=9), 1.0
+        )
+        self.assertFalse(self.registry.deregister("t1", 2.0, started_at_ms=4))
         self.assertIsNotNone(self.registry.find("t1"))
 
     def test_restart_under_same_name_is_not_taken_for_outdated(self):
@@ -64,13 +80,21 @@
 
         It has the same id as before, and its report numbers start again.
         """
-        self.registry.note(said(born=1, number=90), 1.0)
+        self.registry.add(
+            make_registration(started_at_ms=1, report_number=90), 1.0
+        )
         self.assertEqual(
-            self.registry.note(said(born=2, number=1), 2.0), ["t1"]
+            self.registry.add(
+                make_registration(started_at_ms=2, report_number=1), 2.0
+            ),
+            ["t1"],
         )
-        self.registry.leave("t1", 3.0)
+        self.registry.deregister("t1", 3.0)
         self.assertEqual(
-            self.registry.note(said(born=3, number=1), 4.0), ["t1"]
+            self.registry.add(
+                make_registration(started_at_ms=3, report_number=1), 4.0
+            ),
+            ["t1"],
         )
 
     def test_address_belongs_to_newest_start(self):
@@ -80,16 +104,21 @@
         partition; after the partition heals, the last report of the failed one
         arrives.
         """
-        self.registry.note(said("old", born=1), 1.0)
-        changed = self.registry.note(said("new", born=9), 2.0)
+        self.registry.add(make_registration("old", started_at_ms=1), 1.0)
+        changed = self.registry.add(
+            make_registration("new", started_at_ms=9), 2.0
+        )
         self.assertEqual(changed, ["new", "old"])
         self.assertEqual(
-            self.registry.note(said("old", born=1, number=7), 3), []
+            self.registry.add(
+                make_registration("old", started_at_ms=1, report_number=7), 3
+            ),
+            [],
         )
         self.assertEqual(set(self.registry.sessions), {"new"})
 
     def test_targets_without_reports_expire(self):
-        self.registry.note(said(), 1.0)
+        self.registry.add(make_registration(), 1.0)
         self.assertEqual(self.registry.expire(5.0, silence=10.0), [])
         self.assertEqual(self.registry.expire(12.0, silence=10.0), ["t1"])
 
@@ -103,13 +132,15 @@
     def test_the_order_of_arrival_decides_nothing(self, reports, random):
         """Two leaders that heard the same in another order agree."""
         sent = {
-            (born, number): said(born=born, number=number, draining=draining)
+            (born, number): make_registration(
+                started_at_ms=born, report_number=number, draining=draining
+            )
             for born, number, draining in reports
         }
         shuffled = [*sent.values(), *sent.values()]
         random.shuffle(shuffled)
         registry = registry_lib.Registry()
         for now, report in enumerate(shuffled):
-            registry.note(report, float(now))
+            registry.add(report, float(now))
         if sent:
-            self.assertEqual(registry.find("t1").said, sent[max(sent)])
+            self.assertEqual(registry.find("t1").registration, sent[max(sent)])
