--- a/packages/endivestream/src/endivestream/connection/frame_socket.py
+++ b/packages/endivestream/src/endivestream/connection/frame_socket.py
@@ -25,7 +25,7 @@
         socket: zmq.Socket,
         on_frames: Callable[[list[bytes]], None],
     ) -> None:
-        """Reads nothing before `start`.
+        """Initializes the reader; nothing is read before `start`.
 
         Args:
             socket: A plain zmq socket, not one of `zmq.asyncio`.
--- a/packages/endivestream/src/endivestream/connection/leader_link.py
+++ b/packages/endivestream/src/endivestream/connection/leader_link.py
@@ -25,7 +25,7 @@
     """Sends requests to the leader and retries on other control hosts.
 
     Every request sent here may arrive twice: changes carry an id of their own,
-    charges and tickets the id of the request, calls the name of their holder.
+    charges and tickets the id of the request, claims of calls a holder id.
     So a request whose answer was lost is sent to the next leader until its
     timeout.
     """
@@ -130,8 +130,8 @@
                 longer than for an ordinary request.
 
         Raises:
-            links.LinkDownError: No leader answered. The request may have had
-            effect.
+            links.LinkDownError: No leader answered. The request may still have
+                been processed.
         """
         deadline = time.monotonic() + seconds
         attempt_timeout = max(self._attempt_seconds, answer_seconds)
--- a/packages/endivestream/src/endivestream/connection/link_keys.py
+++ b/packages/endivestream/src/endivestream/connection/link_keys.py
@@ -98,14 +98,14 @@
         self._last_logged_at: dict[bytes, float] = {}
 
     def start(self) -> None:
-        """Starts to authenticate; must be called before the server binds."""
+        """Starts authenticating; must be called before the server binds."""
         self._authenticator.start()
         self._authenticator.configure_curve_callback(
             domain="*", credentials_provider=self
         )
 
     def close(self) -> None:
-        """Stops to authenticate."""
+        """Stops authenticating."""
         self._authenticator.stop()
 
     def callback(self, domain: str, key: bytes) -> bool:
--- a/packages/endivestream/src/endivestream/connection/links.py
+++ b/packages/endivestream/src/endivestream/connection/links.py
@@ -197,7 +197,7 @@
         keys: link_keys.LinkKeys | None = None,
         meter: loop_meter.LoopMeter | None = None,
     ) -> None:
-        """Does not connect yet.
+        """Initializes a link; `start` connects it.
 
         Args:
             address: `tcp://IP:PORT` of the peer.
@@ -280,7 +280,8 @@
             seconds: How long to wait.
 
         Raises:
-            LinkDownError: No answer arrived. The request may have had effect.
+            LinkDownError: No answer arrived. The request may still have been
+                processed.
         """
         request_id = next(self._ids)
         future = asyncio.get_running_loop().create_future()
--- a/packages/endivestream/src/endivestream/connection/watch.py
+++ b/packages/endivestream/src/endivestream/connection/watch.py
@@ -47,7 +47,7 @@
         on_push: Callable[[messages.Message], None],
         meter: loop_meter.LoopMeter | None = None,
     ) -> None:
-        """Does not connect yet.
+        """Initializes a session; `start` connects it.
 
         Args:
             controls: `tcp://IP:PORT` of some control hosts.
--- a/packages/endivestream/src/endivestream/logs.py
+++ b/packages/endivestream/src/endivestream/logs.py
@@ -76,7 +76,7 @@
         host: str,
         now: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Writes nothing yet.
+        """Initializes a writer; writes nothing.
 
         Args:
             stream: Stream to write to.
--- a/packages/endivestream/src/endivestream/messages.py
+++ b/packages/endivestream/src/endivestream/messages.py
@@ -216,14 +216,14 @@
 
 
 class AskTicket(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Requests a place on a target.
+    """Requests a slot on a target.
 
     Attributes:
         request: Id of the attempt, unique per attempt.
         team: Name of the team whose share of the queue is used.
         needs: Name of a model, or `service:NAME`.
         tokens: Expected work in tokens.
-        max_wait_seconds: Seconds that the request can wait for the place.
+        max_wait_seconds: Seconds that the request can wait for the slot.
         avoid: Names of targets not to use.
         host: Name of the requesting host; its tickets are released when it is
             removed.
@@ -241,7 +241,7 @@
 
 
 class Ticket(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Answer to `AskTicket`: a place on a target.
+    """Answer to `AskTicket`: a slot on a target.
 
     Attributes:
         target: Name of the target.
--- a/packages/endivestream/src/endivestream/request/attempts.py
+++ b/packages/endivestream/src/endivestream/request/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of one request: consecutive tickets for places on targets.
+"""Attempts of one request: consecutive tickets for slots on targets.
 
 Shared by generations and service calls: the number of attempts, the backoff
 and retry budget, and the release of every ticket.
--- a/packages/endivestream/src/endivestream/request/forward.py
+++ b/packages/endivestream/src/endivestream/request/forward.py
@@ -497,7 +497,7 @@
         progress: sending.Progress,
         picked: target_selection.Selected,
     ) -> bool:
-        """Waits for the prefill turn; returns False if there is no wait."""
+        """Waits for the prefill turn; returns whether it waited."""
         if (
             progress.request_attempts
             or not work.prompt
--- a/packages/endivestream/src/endivestream/request/rate_limits.py
+++ b/packages/endivestream/src/endivestream/request/rate_limits.py
@@ -2,8 +2,8 @@
 
 An overloaded target reports its limit, in requests a second, in each answer
 for as long as it applies; an answer without one ends it. Each host gets limits
-from its own answers and from other hosts. Of the reports about one start of a
-target the newest holds, whatever the order of arrival. Times are seconds.
+from its own answers and from other hosts. Of the reports about one process of a
+target the newest applies, whatever the order of arrival. Times are seconds.
 """
 
 from __future__ import annotations
@@ -42,7 +42,8 @@
     """Latest report of one target.
 
     Attributes:
-        born: The start of the target that reported it.
+        born: Start time of the target process that reported it, in
+            milliseconds of the wall clock.
         rate: Requests a second; None without a limit.
         reported_at: When the target reported it.
     """
@@ -76,7 +77,7 @@
         }
 
     def rate(self, target: str, born: int) -> float | None:
-        """Returns a target's limit; None if this start of it has none."""
+        """Returns the limit of one process of a target; None without one."""
         report = self._reports.get(target)
         return report.rate if report and report.born == born else None
 
@@ -92,7 +93,7 @@
 
         Args:
             target: The target.
-            born: The start of the target that the request was sent to.
+            born: Start time of the target process that the request was sent to.
             rate: The limit in the answer; None without one.
             now: The time.
 
@@ -156,7 +157,7 @@
         )
 
     def remove_older_starts(self, target: str, born: int) -> bool:
-        """Removes the report of an earlier start of a target.
+        """Removes the report of an earlier process of a target.
 
         Returns:
             Whether a limit was removed.
--- a/packages/endivestream/src/endivestream/request/scheduler.py
+++ b/packages/endivestream/src/endivestream/request/scheduler.py
@@ -35,7 +35,7 @@
         tokens: Expected work, in tokens.
         deadline: Time after which a grant is of no use, in seconds.
         avoid: Targets tried before.
-        blocks: Names of the prompt's blocks; see `prefixes`.
+        blocks: Hashes of the prompt's blocks; see `prefixes`.
     """
 
     request: str
--- a/packages/endivestream/src/endivestream/request/send_slots.py
+++ b/packages/endivestream/src/endivestream/request/send_slots.py
@@ -27,8 +27,8 @@
 _HOST_FRACTION = 0.5
 _MIN_REQUESTS_PER_SECOND_AND_HOST = 2.0
 # Hosts and leader may count different numbers of hosts for a while. The leader
-# already sets the hosts' fraction aside at this part of the limit from which
-# on hosts use it.
+# therefore reserves the hosts' fraction from this share of the limit at which
+# hosts begin to use it.
 _HOST_COUNT_MARGIN = 0.75
 # Maximum time after which a denied host requests again.
 _MAX_RETRY_SECONDS = 5.0
@@ -89,10 +89,10 @@
 
 @dataclasses.dataclass(kw_only=True)
 class _SendSchedule:
-    """Send schedule for one start of a target.
+    """Send schedule for one process of a target.
 
     Attributes:
-        born: The start.
+        born: Start time of the process, in milliseconds of the wall clock.
         rate: Sends a second, as of the last call.
         next_send_at: When the next send may be made.
         next_retry_at: When the next denied host may request again.
@@ -128,7 +128,7 @@
 
         Args:
             target: The target.
-            born: Its start.
+            born: Start time of its process.
             rate: Its limit.
             hosts: Number of entry hosts.
             patience: Maximum seconds that the request can wait.
--- a/packages/endivestream/src/endivestream/request/target_selection.py
+++ b/packages/endivestream/src/endivestream/request/target_selection.py
@@ -3,7 +3,7 @@
 The leader sends the targets and the models that they have loaded. This host
 adds its own observations: how many of its requests run on each target, which
 targets fail or send no bytes, and which models and adapters a target has
-recently denied to have. The current time is passed as an argument.
+recently reported as missing. The current time is passed as an argument.
 """
 
 from __future__ import annotations
@@ -111,7 +111,7 @@
 
     Attributes:
         running: Number of this host's requests that run on the target.
-        models: The same number by model and adapter.
+        models: Number of these requests by model and adapter.
         starting: Number of requests whose answer has not started, by model
             and adapter.
         last_byte_at: Time at which the last byte arrived from the target.
@@ -123,7 +123,7 @@
             owner would grant.
         retry_at: Time from which the target may get a trial request.
         trial_running: Whether a trial request is running.
-        denied_names: Models and adapters that the target denied to have.
+        denied_names: Models and adapters that the target reported as missing.
             Cleared when the leader sends a changed entry for the target.
     """
 
@@ -551,7 +551,7 @@
         return is_last_use
 
     def record_denied(self, target: str, name: str) -> None:
-        """Records that a target denied to have a model or adapter.
+        """Records that a target reported a model or adapter as missing.
 
         Applies until the leader sends a changed entry for the target.
 
