--- a/packages/endivestream/src/endivestream/process/adapter_placer.py
+++ b/packages/endivestream/src/endivestream/process/adapter_placer.py
@@ -236,7 +236,7 @@
 ) -> bool:
     """Waits until no request has used an adapter for `_MIN_IDLE_SECONDS`.
 
-    Entry hosts were notified before to send it no more requests.
+    Entry hosts were notified earlier and send it no new requests.
 
     Returns:
         Whether it is idle; False after `_RUNS_TIMEOUT_SECONDS`.
--- a/packages/endivestream/src/endivestream/process/callers.py
+++ b/packages/endivestream/src/endivestream/process/callers.py
@@ -101,7 +101,7 @@
         if flushed.done():
             return
         # Without a time limit, a caller that does not read would occupy its
-        # place on the target, and memory for queued events, forever.
+        # slot on the target, and memory for queued events, forever.
         seconds = self.gateway.settings.requests.stream_silence_seconds
         try:
             async with asyncio.timeout(seconds):
--- a/packages/endivestream/src/endivestream/process/control.py
+++ b/packages/endivestream/src/endivestream/process/control.py
@@ -432,7 +432,7 @@
                     if not self.replicator.is_leader:
                         # While the handler waited, perhaps with the process
                         # suspended, another host became leader. Credit or a
-                        # queue place granted here would be granted twice.
+                        # slot on a target granted here would be granted twice.
                         return messages.NotLeader(address="")
                     return answer
         except replicate.NotLeaderError as error:
--- a/packages/endivestream/src/endivestream/process/daemon.py
+++ b/packages/endivestream/src/endivestream/process/daemon.py
@@ -3,10 +3,11 @@
 Read this file first. `Daemon` owns all services of the process, in the order
 in which they start:
 
-    Control    on a control host: the replicated log, leases, limits,
-               scheduling, placement
-    Gateway    on every host: the configuration lease and the running requests
-    Home       on every host: forwards targets' reports to the leader
+    Control      on a control host: the replicated log, leases, limits,
+                 scheduling, placement
+    Gateway      on every host: the configuration lease and the running
+                 requests
+    HomeGateway  on every host: forwards targets' reports to the leader
     two HTTP servers: for callers, and for operators and targets
 """
 
--- a/packages/endivestream/src/endivestream/process/entry_rate_limits.py
+++ b/packages/endivestream/src/endivestream/process/entry_rate_limits.py
@@ -192,7 +192,7 @@
         requested_at: float,
         wait: float,
     ) -> float | None:
-        """Waits for the granted moment of a send; returns as `permit` does."""
+        """Waits for the granted moment; returns as `acquire_send` does."""
         await asyncio.sleep(wait)
         delay = clock.now() - requested_at - wait - _TIMEOUT_SECONDS
         current_rate = self._limits.rate(
--- a/packages/endivestream/src/endivestream/process/gateway.py
+++ b/packages/endivestream/src/endivestream/process/gateway.py
@@ -1,8 +1,9 @@
 """A host's gateway: its lease, its copy of the configuration, its requests.
 
 The gateway acts on its copy of the configuration, and only while its lease is
-valid. Credit and places on targets are granted by the control host; see
-`admission` for the order in which a request obtains them.
+valid. Credit and slots on targets are granted by the control host. A request
+obtains its credit first (`handlers`) and then a slot for each of its attempts
+(`request.attempts`).
 """
 
 from __future__ import annotations
@@ -333,7 +334,7 @@
     async def request_ticket(
         self, message: messages.AskTicket
     ) -> messages.Ticket | messages.Refused:
-        """Requests a place on a target; refused if no leader answers."""
+        """Requests a slot on a target; refused if no leader answers."""
         return await self._request_with_patience(
             message, message.max_wait_seconds
         )
@@ -378,7 +379,7 @@
     def complete_request(self, ending: messages.Completion) -> None:
         """Queues a completion, which is sent until the leader receives it.
 
-        The leader then releases the request's unused credit and its place.
+        The leader then releases the request's unused credit and its slot.
         """
         self._completions.append(ending)
         self._completion_queued.set()
@@ -391,7 +392,7 @@
                 await self._flush_completions()
             except links.LinkDownError as error:
                 # The completions are kept and sent again. A lost completion
-                # would leak a place on a target and a team's credit.
+                # would leak a slot on a target and a team's credit.
                 count = len(self._completions) + len(self._commands)
                 logs.warn("completions_deferred", count=count, why=error)
                 self._completion_queued.set()
--- a/packages/endivestream/src/endivestream/process/handlers.py
+++ b/packages/endivestream/src/endivestream/process/handlers.py
@@ -217,7 +217,7 @@
             self._running.cancel(_caller_disconnected())
 
     def patience(self) -> float:
-        """Returns how many seconds the request may wait for a place."""
+        """Returns how many seconds the request may wait for a slot."""
         requested = self._requested_patience()
         limit = self.gateway.settings.requests.queue_seconds
         return limit if requested is None else min(limit, requested)
@@ -275,7 +275,7 @@
     ) -> findings.Failure | None:
         """Takes the team's credit; returns a failure if it is refused.
 
-        By default, requests wait for credit less long than for a place. A team
+        By default, requests wait for credit less long than for a slot. A team
         without credit is over its rate, so its queue always grows to the
         maximum wait. With a long maximum, every request would wait for that
         long, and no first token would arrive in time.
--- a/packages/endivestream/src/endivestream/process/limiter.py
+++ b/packages/endivestream/src/endivestream/process/limiter.py
@@ -17,8 +17,8 @@
 from endivestream.version import replicate
 from endivestream.version import rules as rules_lib
 
-# A leader counts as new for this long. The reserve that its
-# predecessor reserved is worth one second of the rate.
+# A leader counts as new for this long. The reserve that its predecessor
+# committed is worth one second of the rate.
 _NEW_LEADER_SECONDS = 2.0
 
 
--- a/packages/endivestream/src/endivestream/process/planner_lease_manager.py
+++ b/packages/endivestream/src/endivestream/process/planner_lease_manager.py
@@ -1,4 +1,4 @@
-"""The leader's side of the planner lease: appoints the planner host.
+"""The leader's side of the planner lease: appoints its holder.
 
 The lease holder places models. The leader forwards reports of targets and
 demand of entry hosts to it as the planner feed, each item once. The holder
--- a/packages/endivestream/src/endivestream/process/site_metrics.py
+++ b/packages/endivestream/src/endivestream/process/site_metrics.py
@@ -230,8 +230,8 @@
             version: Returns the newest configuration version on this host.
             departed: Returns the number of recorded departed targets.
             unplaced: Returns the number of models that requests wait for and
-                that are not being loaded; 0 if this host is not the planner
-                host.
+                that are not being loaded; 0 if this host does not hold the
+                planner lease.
             meter: The meter of the event loop.
         """
         super().__init__()
--- a/packages/endivestream/src/endivestream/version/configuration.py
+++ b/packages/endivestream/src/endivestream/version/configuration.py
@@ -1,9 +1,10 @@
 """The configuration: the rules text and the keys, under one version.
 
 `Configuration` is the replicated state, changed by commands from the log.
-`View` is a gateway's copy, kept current by `Update`s. An update contains
-everything that changed after the receiver's version, so a gateway that missed
-any number of changes catches up in one exchange, without a list of changes.
+`ConfigurationView` is a gateway's copy, kept current by `Update`s. An update
+contains everything that changed after the receiver's version, so a gateway that
+missed any number of changes catches up in one exchange, without a list of
+changes.
 """
 
 from __future__ import annotations
@@ -406,7 +407,7 @@
         return None
 
     def update_since(self, have_version: int) -> Update:
-        """Returns the changes that a gateway at version `have` lacks.
+        """Returns the changes after `have_version` for a gateway.
 
         A version above the current one can only come from another history. It
         gets the complete configuration, and the receiver rejects the older
--- a/packages/endivestream/src/endivestream/version/plan_types.py
+++ b/packages/endivestream/src/endivestream/version/plan_types.py
@@ -83,7 +83,8 @@
         model: The model to load.
         victims: Models to unload first.
         from_store: Whether the weights come from the weight store.
-        reason: `overdue`, `missing`, `copy` or `home`, for the log.
+        reason: `overdue`, `missing`, `copy` or `home`, for the log; `home`
+            is a load that puts a model on a disk while no requests wait.
         load_seconds: Duration of the load.
         victim_run_seconds: Estimated time until the running requests of the
             victims end, in seconds.
